--- a/regress/streamanswer.c
+++ b/regress/streamanswer.c
@@ -1,5 +1,5 @@
 /**
- * DOC: The bytes that the endpoint of a stream sends.
+ * DOC: The bytes of scripted responses of an endpoint.
  */
 
 #include "streamrig.h"
@@ -9,7 +9,7 @@
 #define REFUSED_BODY "no\n"
 
 static const char *
-eol(const struct srun *run)
+line_end(const struct run_script *run)
 {
 	static const char *const all[] = {
 		[LINES_LF] = "\n", [LINES_CRLF] = "\r\n", [LINES_CR] = "\r"
@@ -19,24 +19,24 @@
 }
 
 char *
-stream_data(const struct ssession *s, uint32_t piece)
+stream_piece_data(const struct stream_session *s, uint32_t piece)
 {
 	GString *g = g_string_new(NULL);
-	uint32_t of[] = { s->seed, s->at, piece };
-	uint64_t x = mh_hash(of, sizeof(of));
+	uint32_t key[] = { s->seed, s->index, piece };
+	uint64_t x = mh_hash(key, sizeof(key));
 
 	g_string_printf(g, "p%u-%08x", piece, (uint32_t)x);
 	for (uint32_t lines = x >> 32 & 3; lines > 1; lines--)
 		g_string_append_printf(g, "\n%u: %08x", lines, (uint32_t)x);
-	for (uint32_t i = 0; i < s->filler; i++)
+	for (uint32_t i = 0; i < s->filler_bytes; i++)
 		g_string_append_c(g, (char)('a' + (x + i) % 26));
 	return g_string_free(g, FALSE);
 }
 
 static void
-add_noise(GString *g, const struct srun *run, GRand *rand)
+add_noise(GString *g, const struct run_script *run, GRand *rand)
 {
-	const char *e = eol(run);
+	const char *e = line_end(run);
 
 	if (!run->noisy)
 		return;
@@ -59,11 +59,11 @@
 }
 
 static void
-add_piece(GString *g, const struct ssession *s, const struct srun *run,
-    uint32_t piece, GRand *rand)
+add_piece(GString *g, const struct stream_session *s,
+    const struct run_script *run, uint32_t piece, GRand *rand)
 {
-	const char *e = eol(run);
-	char *data = stream_data(s, piece);
+	const char *e = line_end(run);
+	char *data = stream_piece_data(s, piece);
 	char **lines = g_strsplit(data, "\n", -1);
 	bool id_last = run->noisy && g_rand_boolean(rand);
 
@@ -82,43 +82,47 @@
 	g_free(data);
 }
 
-/* Returns whether it is what the one who goes on after @after is to get. */
+/*
+ * Returns whether the events are the correct continuation after piece @after.
+ */
 static bool
-add_events(GString *g, const struct ssession *s, const struct stry *t,
-    uint32_t after, GRand *rand)
+add_events(GString *g, const struct stream_session *s,
+    const struct stream_attempt *t, uint32_t after, GRand *rand)
 {
-	const struct srun *run = t->run;
-	uint32_t skips = run->skips == 1 && !*t->counts ? 0 : run->skips;
-	uint32_t from = run->anew ? 1 : after + 1;
-	bool sound = from == after + 1;
+	const struct run_script *run = t->script;
+	uint32_t skips =
+	    run->skip_piece == 1 && !*t->ids_from_1 ? 0 : run->skip_piece;
+	uint32_t from = run->restarts ? 1 : after + 1;
+	bool valid = from == after + 1;
 	size_t last = 0;
 
-	if (run->hello)
-		g_string_append_printf(g, ": hello%s%s", eol(run), eol(run));
-	for (uint32_t i = from; i <= s->pieces; i++) {
+	if (run->leading_comment)
+		g_string_append_printf(
+		    g, ": hello%s%s", line_end(run), line_end(run));
+	for (uint32_t i = from; i <= s->n_pieces; i++) {
 		add_noise(g, run, rand);
-		if (i == skips && i < s->pieces) {
-			sound = false;
+		if (i == skips && i < s->n_pieces) {
+			valid = false;
 			continue;
 		}
 		last = g->len;
 		add_piece(g, s, run, i, rand);
-		if (i == run->twice) {
+		if (i == run->dup_piece) {
 			add_piece(g, s, run, i, rand);
-			sound = false;
+			valid = false;
 		}
 	}
-	if (run->half && from <= s->pieces) {
+	if (run->truncates_event && from <= s->n_pieces) {
 		g_string_truncate(g, last + strlen("id: 1\nda"));
 		return false;
 	}
 	add_noise(g, run, rand);
-	return sound;
+	return valid;
 }
 
 static void
 add_chunked(
-    GString *to, const struct srun *run, const GString *body, GRand *rand)
+    GString *to, const struct run_script *run, const GString *body, GRand *rand)
 {
 	size_t at = 0, most = (size_t)g_rand_int_range(rand, 1, 400);
 
@@ -139,18 +143,18 @@
 }
 
 static bool
-has_body(const struct srun *run)
+has_body(const struct run_script *run)
 {
 	return run->status != 204 && run->status != 304;
 }
 
 static const char *
-type_of(enum srun_kind kind)
+content_type(enum run_kind kind)
 {
 	switch (kind) {
 	case RUN_EVENTS:
 		return "text/event-stream";
-	case RUN_BYTES:
+	case RUN_PLAIN_BODY:
 	case RUN_REFUSES:
 	case RUN_STATUS:
 		break;
@@ -159,9 +163,10 @@
 }
 
 static void
-add_head(GString *g, const struct ssession *s, const struct stry *t, size_t len)
+add_head(GString *g, const struct stream_session *s,
+    const struct stream_attempt *t, size_t len)
 {
-	const struct srun *run = t->run;
+	const struct run_script *run = t->script;
 
 	g_string_append_printf(
 	    g, "HTTP/1.1 %u Said\r\nX-Request-Id: %s\r\n", run->status, s->id);
@@ -169,11 +174,11 @@
 		g_string_append_printf(g, "X-Response-Stamp: %s\r\n", t->stamp);
 	if (run->kind == RUN_REFUSES)
 		g_string_append(g, "X-Not-Executed: 1\r\n");
-	if (run->closes || (run->framing == BY_CLOSE && has_body(run)))
+	if (run->closes_conn || (run->framing == BY_CLOSE && has_body(run)))
 		g_string_append(g, "Connection: close\r\n");
 	if (has_body(run)) {
 		g_string_append_printf(
-		    g, "Content-Type: %s\r\n", type_of(run->kind));
+		    g, "Content-Type: %s\r\n", content_type(run->kind));
 		if (run->framing == BY_CHUNKS)
 			g_string_append(g, "Transfer-Encoding: chunked\r\n");
 		else if (run->framing == BY_LENGTH)
@@ -184,32 +189,34 @@
 }
 
 static GString *
-body_of(const struct ssession *s, struct stry *t, uint32_t after, GRand *rand)
+build_body(const struct stream_session *s, struct stream_attempt *t,
+    uint32_t after, GRand *rand)
 {
 	GString *g = g_string_new(NULL);
 
-	switch (t->run->kind) {
+	switch (t->script->kind) {
 	case RUN_EVENTS:
-		t->sound = add_events(g, s, t, after, rand);
-		t->from_one = t->sound && after == 0;
+		t->valid = add_events(g, s, t, after, rand);
+		t->from_first = t->valid && after == 0;
 		break;
-	case RUN_BYTES:
+	case RUN_PLAIN_BODY:
 		g_string_printf(
 		    g, "%s says: data: %08x", t->stamp, g_rand_int(rand));
-		t->sound = s->route == ROUTE_PLAIN;
+		t->valid = s->route == ROUTE_PLAIN;
 		break;
 	case RUN_REFUSES:
 	case RUN_STATUS:
-		if (has_body(t->run))
+		if (has_body(t->script))
 			g_string_append(g, REFUSED_BODY);
 		break;
 	}
-	t->sound = t->sound && t->run->status == 200 && t->run->stamped;
+	t->valid = t->valid && t->script->status == 200 && t->script->stamped;
 	return g;
 }
 
 static void
-add_body(GString *g, const struct srun *run, const GString *body, GRand *rand)
+add_body(
+    GString *g, const struct run_script *run, const GString *body, GRand *rand)
 {
 	if (!has_body(run))
 		return;
@@ -220,7 +227,7 @@
 }
 
 GString *
-stream_extra(const struct ssession *s)
+stream_extra_response(const struct stream_session *s)
 {
 	GString *g = g_string_new(NULL);
 	static const char events[] = "id: 1\ndata: extra\n\n";
@@ -244,31 +251,36 @@
 }
 
 /*
- * Ended in order between two events, an answer that ends where its connection
- * does is a whole one to all who read it; so it is reset there.
+ * A response without length or chunks ends where its connection is closed.  Cut
+ * between two events it would look complete to every reader, so the connection
+ * is reset there instead.
  */
-static enum srun_end
-visible_end(const struct stry *t, const GString *sent)
+static enum run_end
+detectable_end(const struct stream_attempt *t, const GString *sent)
 {
-	const struct srun *run = t->run;
-	bool looks_whole = t->head && run->framing == BY_CLOSE &&
+	const struct run_script *run = t->script;
+	bool looks_complete = t->head_sent && run->framing == BY_CLOSE &&
 	    has_body(run) &&
 	    (run->kind != RUN_EVENTS || ends_with_empty_line(sent));
 
-	return run->end == END_CLOSE && looks_whole ? END_RESET : run->end;
+	return run->end == END_CLOSE && looks_complete ? END_RESET : run->end;
 }
 
-/* Whole by its bytes, one without a frame can still be reset. */
+/*
+ * Ends or pauses the response at a byte of the script.  One that is ended by
+ * the close of its connection can also be cut after its last byte, where only a
+ * reset shows that it is incomplete.
+ */
 static void
-end_early(struct stry *t, GString *g)
+cut_short(struct stream_attempt *t, GString *g)
 {
-	size_t at =
-	    t->run->cut % (g->len + (t->run->framing == BY_CLOSE ? 1 : 0));
+	size_t at = t->script->cut_at %
+	    (g->len + (t->script->framing == BY_CLOSE ? 1 : 0));
 
-	switch (t->run->end) {
-	case END_WHOLE:
+	switch (t->script->end) {
+	case END_COMPLETE:
 		return;
-	case END_LATE:
+	case END_AFTER_PAUSE:
 		t->pause_at = (uint32_t)at;
 		break;
 	case END_CLOSE:
@@ -277,25 +289,25 @@
 		g_string_truncate(g, at);
 		break;
 	}
-	t->sound = false;
+	t->valid = false;
 }
 
 GString *
-stream_answer(const struct ssession *s, struct stry *t, uint32_t after,
-    const GString *owed)
+stream_response(const struct stream_session *s, struct stream_attempt *t,
+    uint32_t after, const GString *deferred)
 {
-	GRand *rand = g_rand_new_with_seed(t->run->seed);
-	GString *body = body_of(s, t, after, rand);
-	GString *g = g_string_new_len(owed->str, (gssize)owed->len);
-	size_t head;
+	GRand *rand = g_rand_new_with_seed(t->script->seed);
+	GString *body = build_body(s, t, after, rand);
+	GString *g = g_string_new_len(deferred->str, (gssize)deferred->len);
+	size_t head_end;
 
 	add_head(g, s, t, body->len);
-	head = g->len;
-	add_body(g, t->run, body, rand);
-	end_early(t, g);
-	t->head = g->len >= head;
-	t->end = visible_end(t, g);
-	t->refused = t->run->kind == RUN_REFUSES && t->head;
+	head_end = g->len;
+	add_body(g, t->script, body, rand);
+	cut_short(t, g);
+	t->head_sent = g->len >= head_end;
+	t->end = detectable_end(t, g);
+	t->not_executed = t->script->kind == RUN_REFUSES && t->head_sent;
 	t->body = g_string_free(body, FALSE);
 	g_rand_free(rand);
 	return g;
--- a/regress/streamrig.c
+++ b/regress/streamrig.c
@@ -1,5 +1,5 @@
 /**
- * DOC: Callers and endpoints of streams on one loop, and a front between them.
+ * DOC: Callers, the HTTP front end and endpoints of streams on one event loop.
  */
 
 #include "streamrig.h"
@@ -15,26 +15,30 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-#define BACKLOG 4096
-#define OPEN_MOST 800 /* lanes at once */
-#define LANE_FDS 16 /* of one, at most */
-#define STARTS 4 /* of lanes in one turn */
-#define LONGEST_US (120 * MH_US_PER_S)
-/* Behind a complete answer the caller looks for more bytes for this long. */
-#define QUIET_US (3 * MH_US_PER_MS)
+#define LISTEN_BACKLOG 4096
+#define MAX_OPEN_LANES 800
+#define MAX_FDS_PER_LANE 16
+#define LANES_PER_START 4 /* lanes started per timer expiry */
+#define RUN_TIMEOUT_US (120 * MH_US_PER_S)
+/* After a complete response the caller waits this long for stray bytes. */
+#define STRAY_WAIT_US (3 * MH_US_PER_MS)
 #define READ_PAUSE_US (1 * MH_US_PER_MS)
-#define SMALL_BUF 2048
-/* Pauses of endpoints, about as long as entries wait for them. */
+#define SLOW_RCVBUF_BYTES 2048
+/* Pauses of endpoints, shorter and longer than the gateway's timeouts. */
 #define PAUSE_MIN_MS 1100
 #define PAUSE_MAX_MS 1700
-/* Aims by which a silence is soon noticed, and not at all. */
-#define AIM_US (2 * MH_US_PER_S)
-#define AIM_LONG_US (15 * MH_US_PER_S)
-#define GAP_US (200 * MH_US_PER_MS)
-#define GAP_LONG_US (5 * MH_US_PER_S)
-#define TIMEOUT_US (30 * MH_US_PER_S)
-
-struct srig {
+/*
+ * Latency objectives of a route.  The gateway derives its timeout for a silent
+ * endpoint from them: the short ones for sessions with a silence, the long ones
+ * for sessions in which no timeout may occur.
+ */
+#define SLO_US (2 * MH_US_PER_S)
+#define SLO_LONG_US (15 * MH_US_PER_S)
+#define GAP_SLO_US (200 * MH_US_PER_MS)
+#define GAP_SLO_LONG_US (5 * MH_US_PER_S)
+#define ROUTE_TIMEOUT_US (30 * MH_US_PER_S)
+
+struct stream_rig {
 	struct mh_kern *k;
 	struct mh_loop *loop;
 	struct mh_hcalls *calls;
@@ -43,92 +47,92 @@
 	struct mh_budget *budget;
 	struct mh_gate *gate;
 	struct plat_front *front;
-	void (*judge)(const struct ssession *s);
+	void (*on_session_end)(const struct stream_session *s);
 	int listen_fd;
 	char addr[32];
-	GHashTable *conns; /* set of struct econn */
-	GHashTable *sessions; /* id -> struct ssession */
+	GHashTable *conns; /* set of struct endpoint_conn */
+	GHashTable *sessions; /* id -> struct stream_session */
 	GPtrArray *lanes;
-	uint32_t open_most;
+	uint32_t max_open;
 	uint32_t started;
 	uint32_t ended;
-	struct mh_timer *starter;
+	struct mh_timer *start_timer;
 };
 
-/** struct econn - a connection of an endpoint. */
-struct econn {
-	struct srig *rig;
+/** struct endpoint_conn - a connection of an endpoint. */
+struct endpoint_conn {
+	struct stream_rig *rig;
 	int fd;
 	GString *in;
-	GString *out; /* what it has still to send */
-	size_t sent; /* of @out */
-	bool paused; /* once in this answer */
-	GString *owed; /* to be sent before the next answer */
-	const struct ssession *s;
-	struct stry *try; /* being answered, NULL: none */
-	GRand *rand; /* of its splits */
+	GString *out; /* the response that is being sent */
+	size_t sent; /* bytes of @out */
+	bool paused; /* has paused in this response */
+	GString *deferred; /* sent before the next response */
+	const struct stream_session *session;
+	struct stream_attempt *attempt; /* in progress, NULL: none */
+	GRand *rand; /* for write sizes and delays */
 	struct mh_timer *timer;
 };
 
 /* endpoints */
 
 static void
-free_econn(void *arg)
+endpoint_conn_free(void *arg)
 {
-	struct econn *c = arg;
+	struct endpoint_conn *c = arg;
 
 	mh_timer_stop(c->rig->k, &c->timer);
 	mh_loop_fd_close(c->rig->loop, c->fd);
 	close(c->fd);
 	g_string_free(c->in, TRUE);
 	g_string_free(c->out, TRUE);
-	g_string_free(c->owed, TRUE);
+	g_string_free(c->deferred, TRUE);
 	if (c->rand != NULL)
 		g_rand_free(c->rand);
 	g_free(c);
 }
 
 static void
-drop_econn(struct econn *c)
+endpoint_conn_close(struct endpoint_conn *c)
 {
 	g_hash_table_remove(c->rig->conns, c);
 }
 
 static void
-reset_econn(struct econn *c)
+endpoint_conn_reset(struct endpoint_conn *c)
 {
 	struct linger hard = { 1, 0 };
 
 	setsockopt(c->fd, SOL_SOCKET, SO_LINGER, &hard, sizeof(hard));
-	drop_econn(c);
+	endpoint_conn_close(c);
 }
 
-/* The bytes of the answer have gone out. */
+/* Called when all bytes of @out have been sent. */
 static void
-end_answer(struct econn *c)
+finish_response(struct endpoint_conn *c)
 {
-	const struct srun *run = c->try->run;
-	enum srun_end end = c->try->end;
+	const struct run_script *run = c->attempt->script;
+	enum run_end end = c->attempt->end;
 
-	c->try = NULL;
+	c->attempt = NULL;
 	switch (end) {
-	case END_WHOLE:
-	case END_LATE:
-		if (run->closes || run->framing == BY_CLOSE)
-			drop_econn(c);
+	case END_COMPLETE:
+	case END_AFTER_PAUSE:
+		if (run->closes_conn || run->framing == BY_CLOSE)
+			endpoint_conn_close(c);
 		else if (run->extra == EXTRA_LATER) {
-			GString *extra = stream_extra(c->s);
+			GString *extra = stream_extra_response(c->session);
 
 			g_string_append_len(
-			    c->owed, extra->str, (gssize)extra->len);
+			    c->deferred, extra->str, (gssize)extra->len);
 			g_string_free(extra, TRUE);
 		}
 		return;
 	case END_CLOSE:
-		drop_econn(c);
+		endpoint_conn_close(c);
 		return;
 	case END_RESET:
-		reset_econn(c);
+		endpoint_conn_reset(c);
 		return;
 	case END_SILENT:
 		return;
@@ -136,33 +140,33 @@
 }
 
 static size_t
-next_split(const struct econn *c)
+next_write_bytes(const struct endpoint_conn *c)
 {
-	size_t left = c->out->len - c->sent, at;
+	size_t remaining = c->out->len - c->sent, at;
 
-	switch (c->try->run->split) {
-	case SPLIT_NOT:
+	switch (c->attempt->script->split) {
+	case SPLIT_NONE:
 		break;
-	case SPLIT_SOME:
+	case SPLIT_RANDOM:
 		return 1 + g_rand_int(c->rand) % (c->out->len / 8 + 1);
 	case SPLIT_WINDOW:
-		/* Byte by byte, about the middle or the end. */
-		at = c->out->len / (1 + c->try->run->seed % 2);
+		/* Byte by byte, around the middle or the end. */
+		at = c->out->len / (1 + c->attempt->script->seed % 2);
 		at -= MIN(at, 24);
 		if (c->sent < at)
 			return at - c->sent;
-		return c->sent < at + 24 ? 1 : left;
+		return c->sent < at + 24 ? 1 : remaining;
 	case SPLIT_BYTES:
 		return c->out->len <= 600 ? 1 : 1 + c->out->len / 600;
 	}
-	return left;
+	return remaining;
 }
 
 static int64_t
-next_pause_us(struct econn *c)
+next_pause_us(struct endpoint_conn *c)
 {
-	if (c->try->end == END_LATE && !c->paused &&
-	    c->sent == c->try->pause_at) {
+	if (c->attempt->end == END_AFTER_PAUSE && !c->paused &&
+	    c->sent == c->attempt->pause_at) {
 		c->paused = true;
 		return g_rand_int_range(c->rand, PAUSE_MIN_MS, PAUSE_MAX_MS) *
 		    (int64_t)MH_US_PER_MS;
@@ -173,44 +177,44 @@
 static void on_send(void *arg);
 
 static void
-send_later(struct econn *c)
+schedule_send(struct endpoint_conn *c)
 {
 	c->timer = mh_timer_start(c->rig->k, next_pause_us(c), on_send, c);
 }
 
 static size_t
-may_send(const struct econn *c)
+sendable_bytes(const struct endpoint_conn *c)
 {
-	size_t n = next_split(c);
+	size_t n = next_write_bytes(c);
 
-	if (c->try->end == END_LATE && !c->paused)
-		return MIN(n, c->try->pause_at - c->sent);
+	if (c->attempt->end == END_AFTER_PAUSE && !c->paused)
+		return MIN(n, c->attempt->pause_at - c->sent);
 	return MIN(n, c->out->len - c->sent);
 }
 
 static void
 on_send(void *arg)
 {
-	struct econn *c = arg;
-	size_t n = may_send(c);
-	ssize_t did = n == 0 ? 0
-			     : send(c->fd, c->out->str + c->sent, n,
-				   MSG_NOSIGNAL | MSG_DONTWAIT);
+	struct endpoint_conn *c = arg;
+	size_t n = sendable_bytes(c);
+	ssize_t written = n == 0 ? 0
+				 : send(c->fd, c->out->str + c->sent, n,
+				       MSG_NOSIGNAL | MSG_DONTWAIT);
 
 	c->timer = NULL;
-	if (did < 0 && errno != EAGAIN) {
-		drop_econn(c);
+	if (written < 0 && errno != EAGAIN) {
+		endpoint_conn_close(c);
 		return;
 	}
-	c->sent += (size_t)MAX(did, 0);
+	c->sent += (size_t)MAX(written, 0);
 	if (c->sent >= c->out->len)
-		end_answer(c);
+		finish_response(c);
 	else
-		send_later(c);
+		schedule_send(c);
 }
 
 static char *
-header_of(const char *text, const char *name)
+header_value(const char *text, const char *name)
 {
 	char *mark = g_strdup_printf("\r\n%s: ", name);
 	const char *at = strstr(text, mark), *end;
@@ -225,57 +229,57 @@
 	return value;
 }
 
-/* "i-LANE-NUMBER" */
+/* Names of nodes have the form "i-LANE-NUMBER". */
 static bool *
-counts_of(struct slane *l, const char *node)
+find_ids_flag(struct stream_lane *l, const char *node)
 {
 	const char *dash = node == NULL ? NULL : strrchr(node, '-');
 	guint64 i = dash == NULL ? 0 : g_ascii_strtoull(dash + 1, NULL, 10);
 
-	return &l->counts[MIN(i, STREAM_NODES - 1)];
+	return &l->ids_from_1[MIN(i, STREAM_MAX_NODES - 1)];
 }
 
 static void
-answer(
-    struct econn *c, struct ssession *s, const char *node, const char *resume)
+start_response(struct endpoint_conn *c, struct stream_session *s,
+    const char *node, const char *resume)
 {
-	uint32_t i = s->n_tries++;
+	uint32_t i = s->n_attempts++;
 	uint32_t after =
 	    resume == NULL ? 0 : (uint32_t)g_ascii_strtoull(resume, NULL, 10);
-	struct stry *t;
+	struct stream_attempt *t;
 	GString *extra;
 
-	if (i >= STREAM_TRIES) { /* told by the count */
-		drop_econn(c);
+	if (i >= STREAM_MAX_ATTEMPTS) { /* the check of n_attempts reports it */
+		endpoint_conn_close(c);
 		return;
 	}
-	t = &s->tries[i];
-	t->run = &s->runs[i];
-	t->counts = counts_of(s->lane, node);
+	t = &s->attempts[i];
+	t->script = &s->scripts[i];
+	t->ids_from_1 = find_ids_flag(s->lane, node);
 	t->stamp = g_strdup_printf("%s.%u", s->id, i);
 	g_string_free(c->out, TRUE);
-	c->out = stream_answer(s, t, after, c->owed);
-	g_string_truncate(c->owed, 0);
-	if (t->run->extra == EXTRA_AT_ONCE && t->end == END_WHOLE) {
-		extra = stream_extra(s);
+	c->out = stream_response(s, t, after, c->deferred);
+	g_string_truncate(c->deferred, 0);
+	if (t->script->extra == EXTRA_AT_ONCE && t->end == END_COMPLETE) {
+		extra = stream_extra_response(s);
 		g_string_append_len(c->out, extra->str, (gssize)extra->len);
 		g_string_free(extra, TRUE);
 	}
 	c->sent = 0;
 	c->paused = false;
-	c->s = s;
-	c->try = t;
+	c->session = s;
+	c->attempt = t;
 	if (c->rand != NULL)
 		g_rand_free(c->rand);
-	c->rand = g_rand_new_with_seed(t->run->seed + 1);
+	c->rand = g_rand_new_with_seed(t->script->seed + 1);
 	on_send(c);
 }
 
 static void
-on_econn(void *arg, bool readable, bool writable)
+on_endpoint_conn(void *arg, bool readable, bool writable)
 {
-	struct econn *c = arg;
-	struct ssession *s;
+	struct endpoint_conn *c = arg;
+	struct stream_session *s;
 	char buf[4096], *id, *node, *resume;
 	ssize_t n = recv(c->fd, buf, sizeof(buf), MSG_DONTWAIT);
 
@@ -284,21 +288,21 @@
 	if (n < 0 && errno == EAGAIN)
 		return;
 	if (n <= 0) {
-		drop_econn(c);
+		endpoint_conn_close(c);
 		return;
 	}
 	g_string_append_len(c->in, buf, n);
 	if (!g_str_has_suffix(c->in->str, "\r\n\r\n"))
 		return;
-	id = header_of(c->in->str, "X-Request-Id");
-	node = header_of(c->in->str, "X-Expect-Instance");
-	resume = header_of(c->in->str, "Last-Event-Id");
+	id = header_value(c->in->str, "X-Request-Id");
+	node = header_value(c->in->str, "X-Expect-Instance");
+	resume = header_value(c->in->str, "Last-Event-Id");
 	s = id == NULL ? NULL : g_hash_table_lookup(c->rig->sessions, id);
-	/* One request at a time, and only after the answer to the last. */
-	CU_ASSERT_TRUE(s != NULL && c->try == NULL);
+	/* The gateway must not pipeline requests. */
+	CU_ASSERT_TRUE(s != NULL && c->attempt == NULL);
 	g_string_truncate(c->in, 0);
-	if (s != NULL && c->try == NULL)
-		answer(c, s, node, resume);
+	if (s != NULL && c->attempt == NULL)
+		start_response(c, s, node, resume);
 	g_free(resume);
 	g_free(node);
 	g_free(id);
@@ -307,23 +311,23 @@
 static void
 on_accept(void *arg, bool readable, bool writable)
 {
-	struct srig *r = arg;
+	struct stream_rig *r = arg;
 	int on = 1, fd = accept(r->listen_fd, NULL, NULL);
-	struct econn *c;
+	struct endpoint_conn *c;
 
 	(void)readable;
 	(void)writable;
 	if (fd < 0)
 		return;
-	c = g_new0(struct econn, 1);
+	c = g_new0(struct endpoint_conn, 1);
 	c->rig = r;
 	c->fd = fd;
 	c->in = g_string_new(NULL);
 	c->out = g_string_new(NULL);
-	c->owed = g_string_new(NULL);
+	c->deferred = g_string_new(NULL);
 	setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof(on));
 	g_hash_table_add(r->conns, c);
-	mh_loop_fd(r->loop, fd, true, false, on_econn, c);
+	mh_loop_fd(r->loop, fd, true, false, on_endpoint_conn, c);
 }
 
 /* callers */
@@ -331,21 +335,21 @@
 static void next_session(void *arg);
 static void on_caller(void *arg, bool readable, bool writable);
 
-static struct ssession *
+static struct stream_session *
 session_of(const http_parser *p)
 {
 	return p->data;
 }
 
 static void
-end_field(struct ssession *s)
+end_field(struct stream_session *s)
 {
 	if (g_ascii_strcasecmp(s->field->str, "X-Response-Stamp") == 0) {
 		g_free(s->stamp);
 		s->stamp = g_strdup(s->value->str);
 	} else if (g_ascii_strcasecmp(s->field->str, "Content-Type") == 0) {
-		g_free(s->type);
-		s->type = g_strdup(s->value->str);
+		g_free(s->content_type);
+		s->content_type = g_strdup(s->value->str);
 	}
 	g_string_truncate(s->field, 0);
 	g_string_truncate(s->value, 0);
@@ -355,7 +359,7 @@
 static int
 on_field(http_parser *p, const char *at, size_t n)
 {
-	struct ssession *s = session_of(p);
+	struct stream_session *s = session_of(p);
 
 	if (s->in_value)
 		end_field(s);
@@ -366,7 +370,7 @@
 static int
 on_value(http_parser *p, const char *at, size_t n)
 {
-	struct ssession *s = session_of(p);
+	struct stream_session *s = session_of(p);
 
 	s->in_value = true;
 	g_string_append_len(s->value, at, (gssize)n);
@@ -376,7 +380,7 @@
 static int
 on_headers(http_parser *p)
 {
-	struct ssession *s = session_of(p);
+	struct stream_session *s = session_of(p);
 
 	end_field(s);
 	s->status = p->status_code;
@@ -393,10 +397,10 @@
 static int
 on_complete(http_parser *p)
 {
-	struct ssession *s = session_of(p);
+	struct stream_session *s = session_of(p);
 
 	s->complete = true;
-	s->keeps = s->keeps && http_should_keep_alive(p);
+	s->keeps_conn = s->keeps_conn && http_should_keep_alive(p);
 	http_parser_pause(p, 1);
 	return 0;
 }
@@ -408,7 +412,7 @@
 	.on_message_complete = on_complete };
 
 static void
-hang_up(struct slane *l)
+close_caller(struct stream_lane *l)
 {
 	if (l->fd < 0)
 		return;
@@ -417,72 +421,79 @@
 	l->fd = -1;
 }
 
-/* What entries can know of an endpoint from a session that has ended. */
+/*
+ * Records that the gateway has learnt from this session that the endpoint's ids
+ * start at 1.
+ */
 static void
-note_counts(const struct ssession *s)
+note_ids_from_1(const struct stream_session *s)
 {
-	const struct stry *t = s->n_tries == 0 || s->n_tries > STREAM_TRIES
+	const struct stream_attempt *t =
+	    s->n_attempts == 0 || s->n_attempts > STREAM_MAX_ATTEMPTS
 	    ? NULL
-	    : &s->tries[s->n_tries - 1];
+	    : &s->attempts[s->n_attempts - 1];
 
-	if (t != NULL && t->from_one && s->complete && s->status == 200 &&
+	if (t != NULL && t->from_first && s->complete && s->status == 200 &&
 	    s->route != ROUTE_PLAIN)
-		*t->counts = true;
+		*t->ids_from_1 = true;
 }
 
-/* The session is over; the caller's connection is closed unless it is kept. */
+/*
+ * Checks the finished session and schedules the next one, which closes the
+ * connection unless it is kept.
+ */
 static void
-end_session(struct slane *l)
+end_session(struct stream_lane *l)
 {
-	struct srig *r = l->rig;
+	struct stream_rig *r = l->rig;
 
 	mh_timer_stop(r->k, &l->timer);
 	if (l->fd >= 0)
 		mh_loop_fd(r->loop, l->fd, false, false, on_caller, l);
-	note_counts(&l->all[l->at]);
-	r->judge(&l->all[l->at]);
-	l->at++;
-	if (l->at == l->n)
-		hang_up(l);
+	note_ids_from_1(&l->sessions[l->current]);
+	r->on_session_end(&l->sessions[l->current]);
+	l->current++;
+	if (l->current == l->n_sessions)
+		close_caller(l);
 	l->timer = mh_timer_start(r->k, 0, next_session, l);
 }
 
 static void
-on_quiet(void *arg)
+on_stray_timeout(void *arg)
 {
-	struct slane *l = arg;
+	struct stream_lane *l = arg;
 
 	l->timer = NULL;
 	end_session(l);
 }
 
-/* Returns false when the session ended with the connection. */
+/* Returns false if this ended the connection and with it the session. */
 static bool
-read_caller(struct slane *l)
+read_caller(struct stream_lane *l)
 {
-	struct ssession *s = &l->all[l->at];
+	struct stream_session *s = &l->sessions[l->current];
 	char buf[16384];
-	size_t most = s->reads == 0 ? sizeof(buf) : s->reads, done = 0;
-	ssize_t n = recv(l->fd, buf, most, MSG_DONTWAIT);
+	size_t max = s->read_bytes == 0 ? sizeof(buf) : s->read_bytes, used = 0;
+	ssize_t n = recv(l->fd, buf, max, MSG_DONTWAIT);
 
 	if (n < 0 && errno == EAGAIN)
 		return true;
 	if (!s->complete && n >= 0)
-		done =
+		used =
 		    http_parser_execute(&s->parser, &callbacks, buf, (size_t)n);
 	if (n > 0) {
 		g_string_append_len(s->raw, buf, n);
-		s->stray += (uint32_t)((size_t)n - done);
-		s->left =
-		    s->leaves > 0 && !s->complete && s->raw->len >= s->leaves;
+		s->stray_bytes += (uint32_t)((size_t)n - used);
+		s->hung_up = s->close_after_bytes > 0 && !s->complete &&
+		    s->raw->len >= s->close_after_bytes;
 		if (s->complete && l->timer == NULL)
-			l->timer =
-			    mh_timer_start(l->rig->k, QUIET_US, on_quiet, l);
-		if (!s->left && (s->stray == 0 || s->complete))
+			l->timer = mh_timer_start(
+			    l->rig->k, STRAY_WAIT_US, on_stray_timeout, l);
+		if (!s->hung_up && (s->stray_bytes == 0 || s->complete))
 			return true;
 	}
 	s->reset = n < 0;
-	hang_up(l);
+	close_caller(l);
 	end_session(l);
 	return false;
 }
@@ -498,7 +509,7 @@
 static void
 on_slow_read(void *arg)
 {
-	struct slane *l = arg;
+	struct stream_lane *l = arg;
 
 	l->timer = NULL;
 	if (read_caller(l) && l->timer == NULL)
@@ -507,9 +518,9 @@
 }
 
 static void
-dial(struct slane *l, bool slow)
+connect_caller(struct stream_lane *l, bool slow)
 {
-	int small = SMALL_BUF;
+	int small = SLOW_RCVBUF_BYTES;
 
 	l->fd = tcp_dial(mh_hserve_port(plat_front_server(l->rig->front)));
 	if (slow)
@@ -517,7 +528,7 @@
 }
 
 static char *
-request_text(const struct ssession *s)
+build_request(const struct stream_session *s)
 {
 	GString *g = g_string_new(NULL);
 
@@ -525,9 +536,10 @@
 	    "GET /%s/ HTTP/1.%d\r\nHost: a.example\r\nX-Request-Id: %s\r\n"
 	    "X-Deadline-Ms: %u\r\n",
 	    s->id, !s->http10, s->id, s->deadline_ms);
-	if (s->after > 0)
-		g_string_append_printf(g, "Last-Event-Id: %u\r\n", s->after);
-	if (!s->keeps && !s->http10)
+	if (s->last_piece > 0)
+		g_string_append_printf(
+		    g, "Last-Event-Id: %u\r\n", s->last_piece);
+	if (!s->keeps_conn && !s->http10)
 		g_string_append(g, "Connection: close\r\n");
 	g_string_append(g, "\r\n");
 	return g_string_free(g, FALSE);
@@ -536,37 +548,38 @@
 static void
 next_session(void *arg)
 {
-	struct slane *l = arg;
-	struct srig *r = l->rig;
-	struct ssession *s;
+	struct stream_lane *l = arg;
+	struct stream_rig *r = l->rig;
+	struct stream_session *s;
 	char *text;
 
 	l->timer = NULL;
-	if (l->at == l->n) {
+	if (l->current == l->n_sessions) {
 		r->ended++;
 		if (r->ended == r->lanes->len)
 			mh_loop_stop(r->loop);
 		return;
 	}
-	s = &l->all[l->at];
-	if (l->fd >= 0 && (l->at == 0 || !l->all[l->at - 1].keeps))
-		hang_up(l);
+	s = &l->sessions[l->current];
+	if (l->fd >= 0 &&
+	    (l->current == 0 || !l->sessions[l->current - 1].keeps_conn))
+		close_caller(l);
 	if (l->fd < 0)
-		dial(l, s->reads > 0);
-	text = request_text(s);
+		connect_caller(l, s->read_bytes > 0);
+	text = build_request(s);
 	CU_ASSERT(send(l->fd, text, strlen(text), MSG_NOSIGNAL) > 0);
 	g_free(text);
-	if (s->reads > 0) {
+	if (s->read_bytes > 0) {
 		mh_loop_fd(r->loop, l->fd, false, false, on_caller, l);
 		l->timer = mh_timer_start(r->k, 0, on_slow_read, l);
 	} else
 		mh_loop_fd(r->loop, l->fd, true, false, on_caller, l);
 }
 
-/* the rig */
+/* fixture */
 
 static void
-add_route(struct mh_gconf *c, const struct ssession *s)
+add_route(struct mh_gconf *c, const struct stream_session *s)
 {
 	struct mh_groute *r = mh_groute_create();
 	struct mh_gtarget t = { g_strdup_printf("p%u", s->lane->seed), 1 };
@@ -575,13 +588,13 @@
 	r->host = g_strdup("a.example");
 	r->prefix = g_strdup_printf("/%s/", s->id);
 	r->open_to_all = true;
-	r->timeout_us = TIMEOUT_US;
-	r->aim_us = s->hangs ? AIM_US : AIM_LONG_US;
-	r->gap_aim_us = s->hangs ? GAP_US : GAP_LONG_US;
-	r->attempts = s->attempts;
+	r->timeout_us = ROUTE_TIMEOUT_US;
+	r->aim_us = s->has_silence ? SLO_US : SLO_LONG_US;
+	r->gap_aim_us = s->has_silence ? GAP_SLO_US : GAP_SLO_LONG_US;
+	r->attempts = s->max_attempts;
 	g_array_append_val(r->targets, t);
 	switch (s->route) {
-	case ROUTE_RESUMED:
+	case ROUTE_RESUME:
 		r->stream = true;
 		r->repeat = MH_REPEAT_RESUME;
 		break;
@@ -597,11 +610,11 @@
 }
 
 static void
-list_nodes(struct srig *r, const struct slane *l)
+list_nodes(struct stream_rig *r, const struct stream_lane *l)
 {
 	char *pool = g_strdup_printf("p%u", l->seed);
 
-	for (uint32_t i = 0; i < l->nodes; i++) {
+	for (uint32_t i = 0; i < l->n_nodes; i++) {
 		char *name = g_strdup_printf("i-%u-%u", l->seed, i);
 		struct mh_listing row = { name, 0, pool, r->addr, "d", 8, false,
 			0 };
@@ -613,16 +626,16 @@
 }
 
 static void
-set_conf(struct srig *r)
+apply_config(struct stream_rig *r)
 {
 	struct mh_gconf *c = mh_gconf_create();
 
 	mh_fleet_begin(r->fleet);
 	for (guint i = 0; i < r->lanes->len; i++) {
-		const struct slane *l = g_ptr_array_index(r->lanes, i);
+		const struct stream_lane *l = g_ptr_array_index(r->lanes, i);
 
-		for (uint32_t j = 0; j < l->n; j++)
-			add_route(c, &l->all[j]);
+		for (uint32_t j = 0; j < l->n_sessions; j++)
+			add_route(c, &l->sessions[j]);
 		list_nodes(r, l);
 	}
 	mh_fleet_end(r->fleet);
@@ -630,46 +643,47 @@
 	mh_gconf_unref(c);
 }
 
-/* A few a turn: the queue of a listener is short. */
+/* Starts a few lanes at a time, so that no listen backlog overflows. */
 static void
-on_start(void *arg)
+start_lanes(void *arg)
 {
-	struct srig *r = arg;
+	struct stream_rig *r = arg;
 
-	r->starter = NULL;
+	r->start_timer = NULL;
 	if (r->started == r->lanes->len)
 		return;
-	for (uint32_t i = 0; i < STARTS && r->started < r->lanes->len &&
-	     r->started - r->ended < r->open_most;
+	for (uint32_t i = 0; i < LANES_PER_START &&
+	     r->started < r->lanes->len && r->started - r->ended < r->max_open;
 	     i++)
 		next_session(g_ptr_array_index(r->lanes, r->started++));
-	r->starter = mh_timer_start(r->k, 500, on_start, r);
+	r->start_timer = mh_timer_start(r->k, 500, start_lanes, r);
 }
 
 bool
-srig_run(struct srig *r)
+stream_rig_run(struct stream_rig *r)
 {
 	struct rlimit l;
 	bool in_time;
 
 	getrlimit(RLIMIT_NOFILE, &l);
-	r->open_most = (uint32_t)MIN(OPEN_MOST, l.rlim_cur / LANE_FDS);
-	set_conf(r);
-	on_start(r);
-	in_time = run_most(r->k, r->loop, LONGEST_US);
-	mh_timer_stop(r->k, &r->starter);
+	r->max_open =
+	    (uint32_t)MIN(MAX_OPEN_LANES, l.rlim_cur / MAX_FDS_PER_LANE);
+	apply_config(r);
+	start_lanes(r);
+	in_time = run_most(r->k, r->loop, RUN_TIMEOUT_US);
+	mh_timer_stop(r->k, &r->start_timer);
 	return in_time;
 }
 
 static void
-clear_session(struct ssession *s)
+session_clear(struct stream_session *s)
 {
-	for (uint32_t i = 0; i < STREAM_TRIES; i++) {
-		g_free(s->tries[i].stamp);
-		g_free(s->tries[i].body);
+	for (uint32_t i = 0; i < STREAM_MAX_ATTEMPTS; i++) {
+		g_free(s->attempts[i].stamp);
+		g_free(s->attempts[i].body);
 	}
 	g_free(s->id);
-	g_free(s->type);
+	g_free(s->content_type);
 	g_free(s->stamp);
 	g_string_free(s->field, TRUE);
 	g_string_free(s->value, TRUE);
@@ -678,32 +692,32 @@
 }
 
 static void
-free_lane(void *arg)
+lane_free(void *arg)
 {
-	struct slane *l = arg;
+	struct stream_lane *l = arg;
 
 	mh_timer_stop(l->rig->k, &l->timer);
-	hang_up(l);
-	for (uint32_t i = 0; i < l->n; i++)
-		clear_session(&l->all[i]);
+	close_caller(l);
+	for (uint32_t i = 0; i < l->n_sessions; i++)
+		session_clear(&l->sessions[i]);
 	g_free(l);
 }
 
-struct slane *
-srig_lane(struct srig *r, uint32_t seed, uint32_t n)
+struct stream_lane *
+stream_rig_add_lane(struct stream_rig *r, uint32_t seed, uint32_t n)
 {
-	struct slane *l = g_new0(struct slane, 1);
+	struct stream_lane *l = g_new0(struct stream_lane, 1);
 
 	l->rig = r;
 	l->seed = seed;
-	l->n = n;
-	l->nodes = STREAM_NODES;
+	l->n_sessions = n;
+	l->n_nodes = STREAM_MAX_NODES;
 	l->fd = -1;
 	for (uint32_t i = 0; i < n; i++) {
-		struct ssession *s = &l->all[i];
+		struct stream_session *s = &l->sessions[i];
 
 		s->lane = l;
-		s->at = i;
+		s->index = i;
 		s->id = g_strdup_printf("s%u-%u", seed, i);
 		s->field = g_string_new(NULL);
 		s->value = g_string_new(NULL);
@@ -717,17 +731,17 @@
 	return l;
 }
 
-struct srig *
-srig_create(void (*judge)(const struct ssession *s))
+struct stream_rig *
+stream_rig_create(void (*on_session_end)(const struct stream_session *s))
 {
-	struct srig *r = g_new0(struct srig, 1);
+	struct stream_rig *r = g_new0(struct stream_rig, 1);
 	struct mh_budget_args b = { 1, 1e6, 10 * MH_US_PER_S };
 	struct mh_gate_ops ops = { .jobs = r };
 
-	r->judge = judge;
-	r->lanes = g_ptr_array_new_with_free_func(free_lane);
+	r->on_session_end = on_session_end;
+	r->lanes = g_ptr_array_new_with_free_func(lane_free);
 	r->sessions = g_hash_table_new(g_str_hash, g_str_equal);
-	r->conns = g_hash_table_new_full(NULL, NULL, free_econn, NULL);
+	r->conns = g_hash_table_new_full(NULL, NULL, endpoint_conn_free, NULL);
 	r->k = mh_kern_create(1);
 	r->loop = mh_loop_create(r->k, NULL);
 	r->calls = mh_hcalls_create(r->loop);
@@ -740,13 +754,13 @@
 	    mh_gate_create(r->k, r->fleet, r->place, r->budget, &ops, "d");
 	plat_front_start(r->front, r->gate);
 	r->listen_fd = tcp_listen(r->addr);
-	CU_ASSERT_EQUAL(listen(r->listen_fd, BACKLOG), 0);
+	CU_ASSERT_EQUAL(listen(r->listen_fd, LISTEN_BACKLOG), 0);
 	mh_loop_fd(r->loop, r->listen_fd, true, false, on_accept, r);
 	return r;
 }
 
 void
-srig_destroy(struct srig *r)
+stream_rig_destroy(struct stream_rig *r)
 {
 	g_ptr_array_free(r->lanes, TRUE);
 	g_hash_table_destroy(r->conns);
--- a/regress/streamrig.h
+++ b/regress/streamrig.h
@@ -2,158 +2,186 @@
 #define STREAMRIG_H
 
 /*
- * Sessions of streams over sockets on loopback: callers, a front with its
- * gate, and endpoints that answer each sending as a script says.  A lane is
- * one caller with a pool of its own; its sessions follow each other over
- * connections that are kept.  All lanes share one loop, so that the silences
- * of many endpoints pass at the same time.
+ * Test fixture for streamed responses over loopback sockets: callers, an HTTP
+ * front end with its gateway, and endpoints that answer each attempt of a
+ * request by a script.  A lane is one caller with a pool of its own; its
+ * sessions run one after the other and may reuse the caller's connection.  All
+ * lanes share one event loop, so that the pauses of many endpoints overlap.
  */
 
 #include "gate.h"
 
 #include <http_parser.h>
 
-#define STREAM_TRIES 4 /* sendings of one request at most */
-#define STREAM_SESSIONS 3 /* of one lane at most */
-#define STREAM_NODES 4 /* of a lane's pool at most */
+#define STREAM_MAX_ATTEMPTS 4 /* of one request */
+#define STREAM_MAX_SESSIONS 3 /* of one lane */
+#define STREAM_MAX_NODES 4 /* of a lane's pool */
 
-enum srun_kind {
-	RUN_EVENTS,
-	RUN_REFUSES, /* says that it has not run the request */
-	RUN_STATUS, /* another status than 200 */
-	RUN_BYTES /* 200, and no stream */
+enum run_kind {
+	RUN_EVENTS, /* an event stream */
+	RUN_REFUSES, /* reports that it did not execute the request */
+	RUN_STATUS, /* a status other than 200 */
+	RUN_PLAIN_BODY /* 200 with a body that is no event stream */
 };
 
-enum srun_framing { BY_CHUNKS, BY_LENGTH, BY_CLOSE };
-enum srun_lines { LINES_LF, LINES_CRLF, LINES_CR };
-enum srun_end {
-	END_WHOLE,
+enum run_framing { BY_CHUNKS, BY_LENGTH, BY_CLOSE };
+enum run_lines { LINES_LF, LINES_CRLF, LINES_CR };
+enum run_end {
+	END_COMPLETE, /* the whole response is sent */
 	END_CLOSE,
 	END_RESET,
-	END_SILENT,
-	END_LATE /* whole, after a pause about as long as entries wait */
+	END_SILENT, /* stops sending, keeps the connection open */
+	END_AFTER_PAUSE /* complete; pauses for about the gateway's timeout */
+};
+/* How a response is divided into writes. */
+enum run_split {
+	SPLIT_NONE,
+	SPLIT_RANDOM,
+	SPLIT_WINDOW, /* byte by byte around the middle or the end */
+	SPLIT_BYTES /* byte by byte if short, else about 600 writes */
+};
+/* An unsolicited response after a complete one. */
+enum run_extra {
+	EXTRA_NONE,
+	EXTRA_AT_ONCE, /* appended to the response */
+	EXTRA_LATER /* sent just before the next response */
 };
-enum srun_split { SPLIT_NOT, SPLIT_SOME, SPLIT_WINDOW, SPLIT_BYTES };
-enum srun_extra { EXTRA_NONE, EXTRA_AT_ONCE, EXTRA_LATER };
 
-/** struct srun - what an endpoint does with a request. */
-struct srun {
-	enum srun_kind kind;
+/** struct run_script - how an endpoint answers one request. */
+struct run_script {
+	enum run_kind kind;
 	uint32_t status;
-	bool stamped;
-	bool anew; /* begins at the first piece, whatever it is asked for */
-	/* a piece that it leaves out; 0: none; 1 only where it was shown */
-	uint32_t skips;
-	uint32_t twice; /* a piece that it sends twice; 0: none */
-	bool half; /* its frame is whole, its last event is not */
-	bool noisy; /* comments, events without data, empty lines */
-	bool hello; /* a comment comes before the first event */
-	bool interim; /* an answer of 1xx comes first */
-	bool closes; /* the connection, behind a whole answer */
-	enum srun_extra extra; /* an answer that nobody asked for follows */
-	enum srun_framing framing;
-	enum srun_lines lines;
-	enum srun_end end;
-	uint32_t cut; /* the byte before which it ends, modulo its length */
-	enum srun_split split;
-	uint32_t seed; /* of noise, chunks and splits */
+	bool stamped; /* sends X-Response-Stamp */
+	bool restarts; /* begins at piece 1 and ignores Last-Event-Id */
+	/*
+	 * Piece that is left out; 0: none.  Piece 1 is left out only by an
+	 * endpoint that has shown that its ids start at 1: the gateway can't
+	 * detect it elsewhere.
+	 */
+	uint32_t skip_piece;
+	uint32_t dup_piece; /* piece that is sent twice; 0: none */
+	bool truncates_event; /* last event is cut, HTTP framing is complete */
+	bool noisy; /* adds comments, events without data, empty lines */
+	bool leading_comment; /* a comment precedes the first event */
+	bool interim; /* drawn and printed; no 1xx response is sent */
+	bool closes_conn; /* sends Connection: close */
+	enum run_extra extra;
+	enum run_framing framing;
+	enum run_lines lines;
+	enum run_end end;
+	uint32_t cut_at; /* byte offset of the end, modulo the length */
+	enum run_split split;
+	uint32_t seed; /* of noise, chunk sizes and writes */
 };
 
-/** struct stry - a sending that reached an endpoint. */
-struct stry {
-	const struct srun *run;
-	bool *counts; /* of its endpoint */
+/** struct stream_attempt - an attempt that reached an endpoint. */
+struct stream_attempt {
+	const struct run_script *script;
+	bool *ids_from_1; /* the endpoint's flag in its lane */
 	char *stamp;
-	char *body; /* of an answer that is no stream */
-	bool refused; /* its caller can know that it has not run */
-	bool sound; /* goes on where it is to, up to the end */
-	bool from_one; /* a stream that begins with its first piece */
-	bool head; /* all of its head was sent */
-	uint32_t pause_at; /* the byte before which it pauses */
-	enum srun_end end; /* may be another than the script's */
+	char *body; /* of the response, without framing */
+	bool not_executed; /* the response head that says so was sent */
+	bool valid; /* continues at the requested piece, to the end */
+	bool from_first; /* a valid stream that begins with piece 1 */
+	bool head_sent; /* the whole response head was sent */
+	uint32_t pause_at; /* byte offset of the pause */
+	enum run_end end; /* may differ from the script's */
 };
 
-enum sroute { ROUTE_RESUMED, ROUTE_ONCE, ROUTE_PLAIN };
+enum stream_route {
+	ROUTE_RESUME, /* a stream that another endpoint may continue */
+	ROUTE_ONCE, /* a stream that is executed at most once */
+	ROUTE_PLAIN /* not a stream; may be executed more than once */
+};
 
-struct slane;
+struct stream_lane;
 
-/** struct ssession - one request, its script, and what its caller got. */
-struct ssession {
-	struct slane *lane;
-	uint32_t at; /* of its lane */
+/** struct stream_session - a request, its scripts and what the caller got. */
+struct stream_session {
+	struct stream_lane *lane;
+	uint32_t index; /* in its lane */
 	char *id;
-	enum sroute route;
-	uint32_t attempts;
-	uint32_t pieces; /* of the true stream, numbered from 1 */
-	uint32_t filler; /* bytes of each, besides */
-	uint32_t seed; /* of their data */
-	uint32_t after; /* what its caller has already; 0: nothing */
-	bool hangs; /* one of its runs falls silent */
+	enum stream_route route;
+	uint32_t max_attempts;
+	uint32_t n_pieces; /* of the full stream, numbered from 1 */
+	uint32_t filler_bytes; /* additional bytes of each piece */
+	uint32_t seed; /* of the pieces' data */
+	uint32_t last_piece; /* Last-Event-Id of the caller; 0: none */
+	bool has_silence; /* an endpoint pauses or falls silent */
 	uint32_t deadline_ms;
 	bool http10;
-	bool keeps; /* the caller keeps its connection */
-	uint32_t leaves; /* after so many bytes; 0: it stays */
-	uint32_t reads; /* bytes at a time, with pauses; 0: all there is */
-	struct srun runs[STREAM_TRIES];
+	bool keeps_conn; /* the caller reuses its connection */
+	uint32_t close_after_bytes; /* caller hangs up; 0: it does not */
+	uint32_t read_bytes; /* per slow read; 0: reads without pauses */
+	struct run_script scripts[STREAM_MAX_ATTEMPTS];
 	/* seen by the endpoints */
-	struct stry tries[STREAM_TRIES];
-	uint32_t n_tries; /* may be more than there is room for */
+	struct stream_attempt attempts[STREAM_MAX_ATTEMPTS];
+	uint32_t n_attempts; /* may exceed the size of @attempts */
 	/* seen by the caller */
 	http_parser parser;
-	uint32_t status; /* 0: no head has come */
+	uint32_t status; /* 0: no response head received */
 	GString *field;
 	GString *value;
 	bool in_value;
-	char *type;
+	char *content_type;
 	char *stamp;
 	GString *body;
 	GString *raw;
 	bool complete;
 	bool reset;
-	bool left; /* it hung up by itself */
-	uint32_t stray; /* bytes behind a complete answer */
+	bool hung_up; /* the caller closed its connection early */
+	uint32_t stray_bytes; /* received outside the response */
 };
 
-struct srig;
+struct stream_rig;
 
-/** struct slane - sessions that follow each other. */
-struct slane {
-	struct srig *rig;
+/** struct stream_lane - one caller with its pool and sessions. */
+struct stream_lane {
+	struct stream_rig *rig;
 	uint32_t seed;
-	struct ssession all[STREAM_SESSIONS];
-	uint32_t n;
-	uint32_t nodes;
-	bool counts[STREAM_NODES]; /* it has shown a stream from piece 1 */
-	uint32_t at; /* the session that is on */
+	struct stream_session sessions[STREAM_MAX_SESSIONS];
+	uint32_t n_sessions;
+	uint32_t n_nodes;
+	/* per node: the gateway has seen a stream with ids from 1 */
+	bool ids_from_1[STREAM_MAX_NODES];
+	uint32_t current; /* index of the running session */
 	int fd; /* the caller's connection, -1: none */
 	struct mh_timer *timer;
 };
 
-/** srig_create() - @judge is told of each session that has ended. */
-struct srig *srig_create(void (*judge)(const struct ssession *s));
-void srig_destroy(struct srig *r);
+/** stream_rig_create() - @on_session_end is called as each session ends. */
+struct stream_rig *stream_rig_create(
+    void (*on_session_end)(const struct stream_session *s));
+void stream_rig_destroy(struct stream_rig *r);
 /**
- * srig_lane() - a lane of @n sessions, all fields of which are nought, and of
- * as many nodes as a request has sendings.
+ * stream_rig_add_lane() - adds a lane of @n sessions without scripts and
+ * STREAM_MAX_NODES nodes.  The rig owns it.
  */
-struct slane *srig_lane(struct srig *r, uint32_t seed, uint32_t n);
-/** srig_run() - plays all lanes; false when it took too long. */
-bool srig_run(struct srig *r);
+struct stream_lane *stream_rig_add_lane(
+    struct stream_rig *r, uint32_t seed, uint32_t n);
+/** stream_rig_run() - runs all lanes; false if they do not end in time. */
+bool stream_rig_run(struct stream_rig *r);
 
-/** stream_data() - the data of a piece, of as many lines as it has breaks. */
-char *stream_data(const struct ssession *s, uint32_t piece);
 /**
- * stream_answer() - the bytes that a run sends of its answer.
- * @after: the last piece that it is told of
- * @owed: bytes that come before it on its connection
+ * stream_piece_data() - the data of a piece, one or more lines separated by
+ * LF.  The caller frees it.
+ */
+char *stream_piece_data(const struct stream_session *s, uint32_t piece);
+/**
+ * stream_response() - the bytes that an endpoint sends for an attempt.
+ * @t: its script, ids_from_1 and stamp are read, its other fields are set
+ * @after: Last-Event-Id of the request; 0: none
+ * @deferred: bytes of an earlier stray response, put before this one
+ *
+ * The caller frees the result and @t->body.
  */
-GString *stream_answer(const struct ssession *s, struct stry *t, uint32_t after,
-    const GString *owed);
-/** stream_extra() - an answer like one to this session. */
-GString *stream_extra(const struct ssession *s);
-/** stream_draw() - the sessions of a lane, by its seed. */
-void stream_draw(struct slane *l, GRand *g);
-/** stream_script() - a session in words, for a report. */
-char *stream_script(const struct ssession *s);
+GString *stream_response(const struct stream_session *s,
+    struct stream_attempt *t, uint32_t after, const GString *deferred);
+/** stream_extra_response() - an unsolicited response to this session. */
+GString *stream_extra_response(const struct stream_session *s);
+/** stream_draw() - draws the sessions of a lane from @g. */
+void stream_draw(struct stream_lane *l, GRand *g);
+/** stream_describe() - a session as text for a report; the caller frees it. */
+char *stream_describe(const struct stream_session *s);
 
 #endif
--- a/regress/t_stream.c
+++ b/regress/t_stream.c
@@ -1,10 +1,10 @@
 /**
- * DOC: Whole sessions of streams, drawn by a seed, over sockets on loopback.
+ * DOC: Sessions of streamed responses over loopback sockets, drawn by a seed.
  *
- * Endpoints tear their answers at any byte, refuse, answer something else,
- * begin anew, leave out or double pieces; TCP splits what they send anywhere.
- * Left out: an endpoint that stops between two events with its frame whole,
- * which no reader can tell from the end of the stream.
+ * Endpoints cut their responses at any byte, refuse requests, send other
+ * responses, restart the stream, skip or duplicate pieces; writes are split
+ * anywhere.  Not covered: an endpoint that stops between two events with its
+ * HTTP framing complete, which no reader can tell from the end of the stream.
  */
 
 #include "streamrig.h"
@@ -13,60 +13,60 @@
 #include <stdio.h>
 #include <string.h>
 
-#define LANES_MOST 500 /* of one rig */
-#define RAW_MOST 1500 /* bytes of an answer in a report */
-#define TOLD_MOST 10 /* faults that are reported in full */
+#define LANES_PER_RIG 500
+#define REPORT_MAX_BYTES 1500 /* of a response */
+#define MAX_REPORTED_FAULTS 10 /* printed in full */
 
-/* What the callers of all sessions got. */
+/* Results of all sessions of a test. */
 static struct {
 	uint32_t sessions;
-	uint32_t complete; /* streams to their last piece */
-	uint32_t resumed; /* of these, by more than one run */
-	uint32_t broken; /* streams that broke off */
+	uint32_t complete; /* streams received up to the last piece */
+	uint32_t resumed; /* of these, with more than one attempt */
+	uint32_t broken; /* streams that ended early */
 	uint32_t faults;
-} seen;
+} totals;
 
 static void
-tell(const struct ssession *s, const char *why)
+print_session(const struct stream_session *s, const char *fault)
 {
-	char *script = stream_script(s);
-	char *raw = g_strndup(s->raw->str, MIN(s->raw->len, RAW_MOST));
+	char *script = stream_describe(s);
+	char *raw = g_strndup(s->raw->str, MIN(s->raw->len, REPORT_MAX_BYTES));
 	char *text = g_strescape(raw, NULL);
 	const char *end = s->reset ? "reset" : "closed";
 
-	printf("\n%s%s\n  got (%zu bytes, %s): %s\n", script, why, s->raw->len,
-	    s->complete ? "complete" : end, text);
+	printf("\n%s%s\n  got (%zu bytes, %s): %s\n", script, fault,
+	    s->raw->len, s->complete ? "complete" : end, text);
 	g_free(text);
 	g_free(raw);
 	g_free(script);
 }
 
 static void
-fault(const struct ssession *s, const char *why)
+report_fault(const struct stream_session *s, const char *fault)
 {
-	if (seen.faults++ < TOLD_MOST)
-		tell(s, why);
-	CU_FAIL("a session of streams");
+	if (totals.faults++ < MAX_REPORTED_FAULTS)
+		print_session(s, fault);
+	CU_FAIL("wrong result of a stream session");
 }
 
-/* the events of a body */
+/* events of a body */
 
-/** struct reader - what a caller makes of the bytes, as the standard says. */
-struct reader {
+/** struct event_reader - parses the lines of an event stream as a caller. */
+struct event_reader {
 	GString *data;
 	uint32_t id;
 	bool has_data;
-	bool within; /* of an event */
-	bool strange; /* a line that no endpoint sends */
+	bool in_event; /* a line of the current event has been read */
+	bool unexpected_line; /* a line that no endpoint sends */
 };
 
 static void
-read_field(struct reader *r, const char *line, size_t len)
+read_field(struct event_reader *r, const char *line, size_t len)
 {
 	static const char *const others[] = { "event: token", "retry: 100",
 		"x-weight-versions: 3" };
 
-	r->within = true;
+	r->in_event = true;
 	if (*line == ':')
 		return;
 	if (len >= 6 && strncmp(line, "data: ", 6) == 0) {
@@ -85,41 +85,48 @@
 		    strncmp(line, others[i], len) == 0)
 			return;
 	}
-	r->strange = true;
+	r->unexpected_line = true;
 }
 
-/* Returns what is wrong with the event that ends here, or NULL. */
+/*
+ * Checks the event that ends here and advances @last past its piece.  Returns
+ * what is wrong with it, or NULL.
+ */
 static const char *
-end_event(struct reader *r, const struct ssession *s, uint32_t *last)
+end_event(
+    struct event_reader *r, const struct stream_session *s, uint32_t *last)
 {
-	const char *wrong = NULL;
-	char *due = stream_data(s, *last + 1);
+	const char *fault = NULL;
+	char *expected = stream_piece_data(s, *last + 1);
 
-	if (r->strange)
-		wrong = "a line that no endpoint sends";
+	if (r->unexpected_line)
+		fault = "a line that no endpoint sends";
 	else if (r->has_data && r->id != *last + 1)
-		wrong = "a piece out of order";
-	else if (r->has_data && strcmp(r->data->str, due) != 0)
-		wrong = "a piece that no run made";
+		fault = "a piece out of order";
+	else if (r->has_data && strcmp(r->data->str, expected) != 0)
+		fault = "a piece with data that no run sent";
 	else if (r->has_data)
 		(*last)++;
-	g_free(due);
+	g_free(expected);
 	g_string_truncate(r->data, 0);
 	r->has_data = false;
-	r->within = false;
+	r->in_event = false;
 	r->id = 0;
-	return wrong;
+	return fault;
 }
 
-/* Reads all whole events; @last: the piece that the caller has last. */
+/*
+ * Reads all complete events.  Sets @last to the last piece received and
+ * @truncated if an incomplete event remains.
+ */
 static const char *
-read_events(const struct ssession *s, uint32_t *last, bool *torn)
+read_events(const struct stream_session *s, uint32_t *last, bool *truncated)
 {
-	struct reader r = { .data = g_string_new(NULL) };
-	const char *p = s->body->str, *end = p + s->body->len, *wrong = NULL;
+	struct event_reader r = { .data = g_string_new(NULL) };
+	const char *p = s->body->str, *end = p + s->body->len, *fault = NULL;
 
-	*last = s->after;
-	while (p < end && wrong == NULL) {
+	*last = s->last_piece;
+	while (p < end && fault == NULL) {
 		size_t n = strcspn(p, "\r\n");
 
 		if (p + n == end)
@@ -127,331 +134,354 @@
 		if (n > 0)
 			read_field(&r, p, n);
 		else
-			wrong = end_event(&r, s, last);
+			fault = end_event(&r, s, last);
 		p += n + (strncmp(p + n, "\r\n", 2) == 0 ? 2 : 1);
 	}
-	*torn = p < end || r.within;
+	*truncated = p < end || r.in_event;
 	g_string_free(r.data, TRUE);
-	return wrong;
+	return fault;
 }
 
 /* checks */
 
-static const struct stry *
-try_of(const struct ssession *s)
+static const struct stream_attempt *
+find_attempt(const struct stream_session *s)
 {
-	for (uint32_t i = 0; i < MIN(s->n_tries, STREAM_TRIES); i++) {
+	for (uint32_t i = 0; i < MIN(s->n_attempts, STREAM_MAX_ATTEMPTS); i++) {
 		if (s->stamp != NULL &&
-		    strcmp(s->stamp, s->tries[i].stamp) == 0)
-			return &s->tries[i];
+		    strcmp(s->stamp, s->attempts[i].stamp) == 0)
+			return &s->attempts[i];
 	}
 	return NULL;
 }
 
 static bool
-is_stream(const struct ssession *s)
+is_stream(const struct stream_session *s)
 {
-	return s->status == 200 && s->type != NULL &&
-	    strcmp(s->type, "text/event-stream") == 0;
+	return s->status == 200 && s->content_type != NULL &&
+	    strcmp(s->content_type, "text/event-stream") == 0;
 }
 
 static const char *
-check_stream(const struct ssession *s)
+check_stream(const struct stream_session *s)
 {
-	const struct stry *t = try_of(s);
+	const struct stream_attempt *t = find_attempt(s);
 	uint32_t last;
-	bool torn;
-	const char *wrong = read_events(s, &last, &torn);
+	bool truncated;
+	const char *fault = read_events(s, &last, &truncated);
 
-	if (wrong != NULL)
-		return wrong;
-	if (t == NULL || t->run->kind != RUN_EVENTS)
-		return "a stream by none of its runs";
+	if (fault != NULL)
+		return fault;
+	if (t == NULL || t->script->kind != RUN_EVENTS)
+		return "a stream that no run of the session sent";
 	if (!s->complete) {
-		seen.broken++;
+		totals.broken++;
 		return NULL;
 	}
-	if (torn)
-		return "complete within an event";
-	if (last < s->pieces)
+	if (truncated)
+		return "complete in the middle of an event";
+	if (last < s->n_pieces)
 		return "complete before the last piece";
-	seen.complete++;
-	seen.resumed += s->n_tries > 1;
+	totals.complete++;
+	totals.resumed += s->n_attempts > 1;
 	return NULL;
 }
 
-/* Sendings that an endpoint began to work on. */
+/* Attempts that an endpoint executed, at least in part. */
 static uint32_t
-ran(const struct ssession *s)
+count_executed(const struct stream_session *s)
 {
 	uint32_t n = 0;
 
-	for (uint32_t i = 0; i < MIN(s->n_tries, STREAM_TRIES); i++)
-		n += s->tries[i].run->kind != RUN_REFUSES;
+	for (uint32_t i = 0; i < MIN(s->n_attempts, STREAM_MAX_ATTEMPTS); i++)
+		n += s->attempts[i].script->kind != RUN_REFUSES;
 	return n;
 }
 
-/* Those that an entry can't know to be none: its word may come too late. */
+/*
+ * Attempts that the gateway must count as possibly executed: all without a
+ * refusal, and those whose refusal may come after the gateway's timeout.
+ */
 static uint32_t
-may_have_run(const struct ssession *s)
+count_maybe_executed(const struct stream_session *s)
 {
 	uint32_t n = 0;
 
-	for (uint32_t i = 0; i < MIN(s->n_tries, STREAM_TRIES); i++)
-		n += !s->tries[i].refused || s->tries[i].end == END_LATE;
+	for (uint32_t i = 0; i < MIN(s->n_attempts, STREAM_MAX_ATTEMPTS); i++)
+		n += !s->attempts[i].not_executed ||
+		    s->attempts[i].end == END_AFTER_PAUSE;
 	return n;
 }
 
-/* An answer of the entry's own. */
+/* A response without a stamp comes from the gateway itself. */
 static const char *
-check_own(const struct ssession *s)
+check_gateway_response(const struct stream_session *s)
 {
 	switch (s->status) {
 	case 502:
 	case 504:
 		return NULL;
 	case 503:
-		return ran(s) == 0 ? NULL : "not run, it says, and it ran";
+		return count_executed(s) == 0
+		    ? NULL
+		    : "503 though an endpoint executed the request";
 	default:
-		return "a status of nobody";
+		return "a status that the gateway does not send";
 	}
 }
 
 static const char *
-check_answer(const struct ssession *s)
+check_response(const struct stream_session *s)
 {
-	const struct stry *t = try_of(s);
+	const struct stream_attempt *t = find_attempt(s);
 
-	if (s->stray > 0)
-		return "bytes behind a complete answer, or malformed";
+	if (s->stray_bytes > 0)
+		return "malformed, or bytes after a complete response";
 	if (s->status == 0)
-		return NULL; /* broke off before its head */
+		return NULL; /* ended before its head */
 	if (is_stream(s))
 		return check_stream(s);
 	if (!s->complete)
 		return NULL;
 	if (s->stamp == NULL)
-		return check_own(s);
-	if (t == NULL || t->run->status != s->status)
-		return "an answer by none of its runs";
-	if ((t->end != END_WHOLE && t->end != END_LATE) ||
+		return check_gateway_response(s);
+	if (t == NULL || t->script->status != s->status)
+		return "a response that no run of the session sent";
+	if ((t->end != END_COMPLETE && t->end != END_AFTER_PAUSE) ||
 	    strcmp(t->body, s->body->str) != 0)
-		return "another body than that of its run";
+		return "a body other than that of its run";
 	return NULL;
 }
 
 static uint32_t
-runs_most(const struct ssession *s)
+max_executions(const struct stream_session *s)
 {
-	return s->route == ROUTE_ONCE ? 1 : s->attempts;
+	return s->route == ROUTE_ONCE ? 1 : s->max_attempts;
 }
 
 static const char *
-check_runs(const struct ssession *s)
+check_attempts(const struct stream_session *s)
 {
-	if (s->n_tries == 0)
-		return "never sent";
-	if (s->n_tries > STREAM_TRIES || ran(s) > runs_most(s))
-		return "sent too often";
+	if (s->n_attempts == 0)
+		return "no attempt reached an endpoint";
+	if (s->n_attempts > STREAM_MAX_ATTEMPTS ||
+	    count_executed(s) > max_executions(s))
+		return "too many attempts or executions";
 	return NULL;
 }
 
-/* Its caller may have the head of a stream, though it did not read it. */
+/* The caller may have been sent a stream's head that it did not read yet. */
 static bool
-has_streamed(const struct ssession *s)
+may_have_stream_head(const struct stream_session *s)
 {
-	for (uint32_t i = 0; i < MIN(s->n_tries, STREAM_TRIES); i++) {
-		const struct stry *t = &s->tries[i];
+	for (uint32_t i = 0; i < MIN(s->n_attempts, STREAM_MAX_ATTEMPTS); i++) {
+		const struct stream_attempt *t = &s->attempts[i];
 
-		if (t->head && t->run->kind == RUN_EVENTS && t->run->stamped)
+		if (t->head_sent && t->script->kind == RUN_EVENTS &&
+		    t->script->stamped)
 			return true;
 	}
 	return false;
 }
 
-/* Whether it may be sent once more. */
+/* Whether the gateway may make another attempt. */
 static bool
-may_go_on(const struct ssession *s)
+may_retry(const struct stream_session *s)
 {
-	if (s->route == ROUTE_PLAIN && has_streamed(s))
+	if (s->route == ROUTE_PLAIN && may_have_stream_head(s))
 		return false;
-	return s->n_tries < s->lane->nodes && may_have_run(s) < runs_most(s);
+	return s->n_attempts < s->lane->n_nodes &&
+	    count_maybe_executed(s) < max_executions(s);
 }
 
-/* An entry that always broke off would keep all that is promised. */
+/*
+ * Checks that the gateway retries as long as it may.  A gateway that ended each
+ * response early would pass all other checks.
+ */
 static const char *
-check_goes_on(const struct ssession *s)
+check_retried(const struct stream_session *s)
 {
-	const struct stry *t = &s->tries[s->n_tries - 1];
-	bool own = s->stamp == NULL || !s->complete || is_stream(s);
+	const struct stream_attempt *t = &s->attempts[s->n_attempts - 1];
+	bool gave_up = s->stamp == NULL || !s->complete || is_stream(s);
 
-	if (t->sound)
+	if (t->valid)
 		return s->complete && s->status == 200
 		    ? NULL
-		    : "not complete though the last run is sound";
+		    : "not complete though the last run is valid";
 	if (is_stream(s) && s->complete)
 		return NULL;
-	if (may_go_on(s) && (own || s->status >= 500))
+	if (may_retry(s) && (gave_up || s->status >= 500))
 		return "given up though it may go on";
 	return NULL;
 }
 
 static void
-judge(const struct ssession *s)
+check_session(const struct stream_session *s)
 {
-	const char *wrong = check_runs(s);
-
-	seen.sessions++;
-	if (wrong == NULL)
-		wrong = check_answer(s);
-	if (wrong == NULL && !s->left)
-		wrong = check_goes_on(s);
-	if (wrong != NULL)
-		fault(s, wrong);
+	const char *fault = check_attempts(s);
+
+	totals.sessions++;
+	if (fault == NULL)
+		fault = check_response(s);
+	if (fault == NULL && !s->hung_up)
+		fault = check_retried(s);
+	if (fault != NULL)
+		report_fault(s, fault);
 }
 
 static void
-say_seen(void)
+print_totals(void)
 {
-	printf("%u sessions, %u complete streams (%u by more than one run), "
-	       "%u broken off, %u faults ... ",
-	    seen.sessions, seen.complete, seen.resumed, seen.broken,
-	    seen.faults);
+	printf("%u sessions, %u complete streams (%u with retries), "
+	       "%u ended early, %u faults ... ",
+	    totals.sessions, totals.complete, totals.resumed, totals.broken,
+	    totals.faults);
 }
 
-/* A piece joined, changed, lost or doubled, or an end that looks complete. */
+/*
+ * Guards against pieces that are joined, changed, lost or duplicated, and
+ * against a stream that ends early and looks complete.
+ */
 static void
 test_drawn(void)
 {
 	uint32_t first = regress_first(1), last = regress_last(400);
 
-	memset(&seen, 0, sizeof(seen));
-	for (uint32_t from = first; from <= last; from += LANES_MOST) {
-		struct srig *r = srig_create(judge);
+	memset(&totals, 0, sizeof(totals));
+	for (uint32_t from = first; from <= last; from += LANES_PER_RIG) {
+		struct stream_rig *r = stream_rig_create(check_session);
 
-		for (uint32_t i = from; i <= last && i < from + LANES_MOST;
+		for (uint32_t i = from; i <= last && i < from + LANES_PER_RIG;
 		     i++) {
 			GRand *g = g_rand_new_with_seed(i);
 			uint32_t n = (uint32_t)g_rand_int_range(
-			    g, 1, STREAM_SESSIONS + 1);
+			    g, 1, STREAM_MAX_SESSIONS + 1);
 
-			stream_draw(srig_lane(r, i, n), g);
+			stream_draw(stream_rig_add_lane(r, i, n), g);
 			g_rand_free(g);
 		}
-		CU_ASSERT_TRUE(srig_run(r));
-		srig_destroy(r);
+		CU_ASSERT_TRUE(stream_rig_run(r));
+		stream_rig_destroy(r);
 	}
-	say_seen();
+	print_totals();
 }
 
-#define PIECES 3
-#define FIRST_LANE 1000 /* all names of lanes have one length */
+#define N_PIECES 3
+#define FIRST_LANE 1000 /* with 4 digits all responses have the same length */
 #define SILENCE_DEADLINE_MS 2700
 
-/* A stream that may be resumed, all runs of which are sound. */
+/* Scripts a resumable stream, all runs of which are valid. */
 static void
-set_sound(struct ssession *s)
+set_fault_free(struct stream_session *s)
 {
-	s->route = ROUTE_RESUMED;
-	s->attempts = 2;
-	s->pieces = PIECES;
+	s->route = ROUTE_RESUME;
+	s->max_attempts = 2;
+	s->n_pieces = N_PIECES;
 	s->seed = 1;
 	s->deadline_ms = SILENCE_DEADLINE_MS;
-	s->hangs = true;
-	for (uint32_t i = 0; i < STREAM_TRIES; i++) {
-		s->runs[i].status = 200;
-		s->runs[i].stamped = true;
-		s->runs[i].seed = 1;
+	s->has_silence = true;
+	for (uint32_t i = 0; i < STREAM_MAX_ATTEMPTS; i++) {
+		s->scripts[i].status = 200;
+		s->scripts[i].stamped = true;
+		s->scripts[i].seed = 1;
 	}
 }
 
-static struct ssession *
-one_session(struct srig *r, uint32_t lane)
+static struct stream_session *
+add_session(struct stream_rig *r, uint32_t lane)
 {
-	struct ssession *s = &srig_lane(r, lane, 1)->all[0];
+	struct stream_session *s =
+	    &stream_rig_add_lane(r, lane, 1)->sessions[0];
 
-	set_sound(s);
+	set_fault_free(s);
 	return s;
 }
 
 static uint32_t
-answer_len(enum srun_lines lines)
+response_bytes(enum run_lines lines)
 {
-	struct srig *r = srig_create(judge);
-	struct ssession *s = one_session(r, FIRST_LANE);
-	struct stry t = { .run = &s->runs[0],
-		.counts = &s->lane->counts[0],
+	struct stream_rig *r = stream_rig_create(check_session);
+	struct stream_session *s = add_session(r, FIRST_LANE);
+	struct stream_attempt t = { .script = &s->scripts[0],
+		.ids_from_1 = &s->lane->ids_from_1[0],
 		.stamp = "s1000-0.0" };
 	GString *none = g_string_new(NULL), *g;
 	uint32_t len;
 
-	s->runs[0].lines = lines;
-	g = stream_answer(s, &t, 0, none);
+	s->scripts[0].lines = lines;
+	g = stream_response(s, &t, 0, none);
 	len = (uint32_t)g->len;
 	g_free(t.body);
 	g_string_free(g, TRUE);
 	g_string_free(none, TRUE);
-	srig_destroy(r);
+	stream_rig_destroy(r);
 	return len;
 }
 
-/* Half of an event, or of a frame, at the joint of two runs. */
+/*
+ * Guards against part of an event or of the HTTP framing being passed on where
+ * one run ends and the next one continues: cuts the first run at every byte.
+ */
 static void
-test_every_byte(void)
+test_cut_every_byte(void)
 {
-	static const enum srun_end ends[] = { END_SILENT, END_CLOSE,
-		END_RESET };
-	static const enum srun_lines lines[] = { LINES_LF, LINES_CRLF };
-	struct srig *r = srig_create(judge);
+	static const enum run_end ends[] = { END_SILENT, END_CLOSE, END_RESET };
+	static const enum run_lines lines[] = { LINES_LF, LINES_CRLF };
+	struct stream_rig *r = stream_rig_create(check_session);
 	uint32_t lane = FIRST_LANE;
 
-	memset(&seen, 0, sizeof(seen));
+	memset(&totals, 0, sizeof(totals));
 	for (size_t i = 0; i < G_N_ELEMENTS(lines); i++) {
-		uint32_t len = answer_len(lines[i]);
+		uint32_t len = response_bytes(lines[i]);
 
 		for (uint32_t at = 0; at < len * G_N_ELEMENTS(ends); at++) {
-			struct ssession *s = one_session(r, lane++);
+			struct stream_session *s = add_session(r, lane++);
 
-			s->runs[0].cut = at % len;
-			s->runs[0].end = ends[at / len];
-			s->runs[0].lines = s->runs[1].lines = lines[i];
+			s->scripts[0].cut_at = at % len;
+			s->scripts[0].end = ends[at / len];
+			s->scripts[0].lines = s->scripts[1].lines = lines[i];
 		}
 	}
-	CU_ASSERT_TRUE(srig_run(r));
-	CU_ASSERT_EQUAL(seen.resumed, lane - FIRST_LANE);
-	CU_ASSERT_EQUAL(seen.complete, lane - FIRST_LANE);
-	srig_destroy(r);
-	say_seen();
+	CU_ASSERT_TRUE(stream_rig_run(r));
+	CU_ASSERT_EQUAL(totals.resumed, lane - FIRST_LANE);
+	CU_ASSERT_EQUAL(totals.complete, lane - FIRST_LANE);
+	stream_rig_destroy(r);
+	print_totals();
 }
 
-/* A stream without its first piece, at an endpoint that has shown one. */
+/*
+ * Guards against a stream that lacks its first piece passing as complete.  The
+ * first session of a lane shows that the ids of its endpoint start at 1, so the
+ * gateway can detect the gap in the second one.
+ */
 static void
-test_past_its_first(void)
+test_first_piece_missing(void)
 {
-	static const enum sroute routes[] = { ROUTE_RESUMED, ROUTE_ONCE };
-	struct srig *r = srig_create(judge);
+	static const enum stream_route routes[] = { ROUTE_RESUME, ROUTE_ONCE };
+	struct stream_rig *r = stream_rig_create(check_session);
 
-	memset(&seen, 0, sizeof(seen));
+	memset(&totals, 0, sizeof(totals));
 	for (uint32_t i = 0; i < 2 * G_N_ELEMENTS(routes); i++) {
-		struct slane *l = srig_lane(r, FIRST_LANE + i, 2);
-
-		l->nodes = 1;
-		set_sound(&l->all[0]);
-		l->all[0].runs[0].hello = i % 2 == 0;
-		l->all[0].runs[0].split = SPLIT_BYTES;
-		set_sound(&l->all[1]);
-		l->all[1].route = routes[i / 2];
-		l->all[1].runs[0].skips = 1;
+		struct stream_lane *l =
+		    stream_rig_add_lane(r, FIRST_LANE + i, 2);
+
+		l->n_nodes = 1;
+		set_fault_free(&l->sessions[0]);
+		l->sessions[0].scripts[0].leading_comment = i % 2 == 0;
+		l->sessions[0].scripts[0].split = SPLIT_BYTES;
+		set_fault_free(&l->sessions[1]);
+		l->sessions[1].route = routes[i / 2];
+		l->sessions[1].scripts[0].skip_piece = 1;
 	}
-	CU_ASSERT_TRUE(srig_run(r));
-	CU_ASSERT_EQUAL(seen.complete, 2 * G_N_ELEMENTS(routes));
-	srig_destroy(r);
-	say_seen();
+	CU_ASSERT_TRUE(stream_rig_run(r));
+	CU_ASSERT_EQUAL(totals.complete, 2 * G_N_ELEMENTS(routes));
+	stream_rig_destroy(r);
+	print_totals();
 }
 
 const struct test tests_stream[] = {
-	{ "stream: torn at every byte", test_every_byte },
-	{ "stream: past its first piece", test_past_its_first },
+	{ "stream: torn at every byte", test_cut_every_byte },
+	{ "stream: first piece missing", test_first_piece_missing },
 	{ "stream: drawn sessions", test_drawn },
 	{ NULL, NULL },
 };
