--- a/lib/budget.c
+++ b/lib/budget.c
@@ -1,9 +1,9 @@
 /**
- * DOC: Repeats as a share of recent requests.
+ * DOC: Retry budget: bounds retries to a share of recent requests.
  *
- * When endpoints fail, repeats multiply the load on those that are left.
- * Each process keeps to its part of one allowance: a ratio of the requests
- * that it saw and its share of a fixed slack, over a sliding window.
+ * When endpoints fail, retries multiply the load on the remaining ones.  The
+ * entries share one allowance per pool: each may spend a ratio of the requests
+ * that it received and its share of a fixed slack, over a sliding window.
  */
 
 #include "gate.h"
@@ -11,13 +11,13 @@
 #include <string.h>
 
 #define BUCKETS 10
-/* The rest covers processes that count at another moment than we do. */
+/* The rest is a margin for entries that count over shifted windows. */
 #define SLACK_USED 0.8
 
 struct window {
-	uint32_t first[BUCKETS];
-	uint32_t again[BUCKETS];
-	int64_t at; /* number of the newest bucket */
+	uint32_t requests[BUCKETS];
+	uint32_t retries[BUCKETS];
+	int64_t newest; /* number of the newest bucket */
 };
 
 struct mh_budget {
@@ -55,39 +55,40 @@
 	return mh_now(b->k) / MAX(b->args.window_us / BUCKETS, 1);
 }
 
-/* All that it holds counts as of now. */
+/* Moves the counts of all buckets to the bucket numbered @bucket. */
 static void
-gather(struct window *w, int64_t at)
+merge_buckets(struct window *w, int64_t bucket)
 {
-	uint32_t first = 0, again = 0;
+	uint32_t requests = 0, retries = 0;
 
 	for (int i = 0; i < BUCKETS; i++) {
-		first += w->first[i];
-		again += w->again[i];
+		requests += w->requests[i];
+		retries += w->retries[i];
 	}
 	memset(w, 0, sizeof(*w));
-	w->at = at;
-	w->first[at % BUCKETS] = first;
-	w->again[at % BUCKETS] = again;
+	w->newest = bucket;
+	w->requests[bucket % BUCKETS] = requests;
+	w->retries[bucket % BUCKETS] = retries;
 }
 
 /*
- * Buckets are numbered by their length: with another length all would look old,
- * and endpoints would get a whole allowance more than they were promised.
+ * A bucket's number is the time divided by the bucket length.  After a change
+ * of the window the old buckets would look expired, and endpoints would get a
+ * second whole allowance of retries.
  */
 void
 mh_budget_set(struct mh_budget *b, const struct mh_budget_args *a)
 {
-	bool other = b->args.window_us != a->window_us;
+	bool resized = b->args.window_us != a->window_us;
 	GHashTableIter it;
 	gpointer w;
 
 	b->args = *a;
-	if (!other)
+	if (!resized)
 		return;
 	g_hash_table_iter_init(&it, b->pools);
 	while (g_hash_table_iter_next(&it, NULL, &w))
-		gather(w, bucket_now(b));
+		merge_buckets(w, bucket_now(b));
 }
 
 void
@@ -100,19 +101,19 @@
 window_of(struct mh_budget *b, const char *pool)
 {
 	struct window *w = g_hash_table_lookup(b->pools, pool);
-	int64_t at = bucket_now(b);
+	int64_t bucket = bucket_now(b);
 
 	if (w == NULL) {
 		w = g_new0(struct window, 1);
-		w->at = at;
+		w->newest = bucket;
 		g_hash_table_insert(b->pools, g_strdup(pool), w);
 	}
-	for (int n = 0; w->at < at && n < BUCKETS; n++) {
-		w->at++;
-		w->first[w->at % BUCKETS] = 0;
-		w->again[w->at % BUCKETS] = 0;
+	for (int n = 0; w->newest < bucket && n < BUCKETS; n++) {
+		w->newest++;
+		w->requests[w->newest % BUCKETS] = 0;
+		w->retries[w->newest % BUCKETS] = 0;
 	}
-	w->at = at;
+	w->newest = bucket;
 	return w;
 }
 
@@ -121,7 +122,7 @@
 {
 	struct window *w = window_of(b, pool);
 
-	w->first[w->at % BUCKETS]++;
+	w->requests[w->newest % BUCKETS]++;
 }
 
 static double
@@ -130,7 +131,7 @@
 	double n = 0;
 
 	for (int i = 0; i < BUCKETS; i++)
-		n += w->first[i];
+		n += w->requests[i];
 	return b->args.ratio * n + b->args.slack * SLACK_USED / b->entries;
 }
 
@@ -140,7 +141,7 @@
 	double n = 0;
 
 	for (int i = 0; i < BUCKETS; i++)
-		n += w->again[i];
+		n += w->retries[i];
 	return n;
 }
 
@@ -153,6 +154,6 @@
 		mh_count(b->k, "repeats_over_budget", 1);
 		return false;
 	}
-	w->again[w->at % BUCKETS]++;
+	w->retries[w->newest % BUCKETS]++;
 	return true;
 }
--- a/lib/gate.c
+++ b/lib/gate.c
@@ -1,43 +1,45 @@
 /**
  * DOC: One request from its arrival to its end.
  *
- * The gate decides; an adapter decodes requests and answers and moves their
- * bytes.  Every request ends in exactly one way: a whole answer, an answer
- * that visibly breaks off, or a refusal that says truly whether it may have
- * run.  A request that must not repeat is sent again only where the endpoint
- * said that it did not run it, or no byte of it had left.
+ * The gateway decides; an adapter decodes requests and answers and moves their
+ * bytes.  Every request ends in exactly one way: a complete answer, an answer
+ * that visibly breaks off, or a refusal that states correctly whether it may
+ * have run.  A request that may run only once is retried only if the endpoint
+ * states that it did not run it, or if no byte of it was sent.
  */
 
 #include "gateint.h"
 
 #include <string.h>
 
-/* Sendings of one request at most, those that did not run included. */
-#define TRIES_MAX 4
-/* Times that its stage work is asked for, beside one for each run. */
-#define JOBS_MORE 2
+/* Endpoints that one request is sent to, also those that did not run it. */
+#define MAX_TRIES 4
+/* Times that its stage work may be submitted, besides once for each run. */
+#define EXTRA_JOBS 2
 /*
- * Part of the aim after which a repeatable request that got no answer goes
- * to another endpoint: late enough to be rare, early enough to be on time.
+ * A repeatable request without an answer goes to another endpoint after this
+ * part of the latency objective: late enough to be rare, early enough for the
+ * other endpoint to meet the objective.
  */
-#define PATIENCE_SHARE 0.55
-/* For streams: engines may be slow for all, so at least this long. */
-#define STREAM_PATIENCE_US (1200 * MH_US_PER_MS)
-/* A stream that pauses this many times the longest pause allowed hangs. */
+#define SILENCE_SLO_RATIO 0.55
+/* At least this long for streams: all engines may be slow to begin one. */
+#define STREAM_SILENCE_MIN_US (1200 * MH_US_PER_MS)
+/* A stream hangs if it pauses for this many times the longest pause that its
+ * route allows, and for at least GAP_MIN_US. */
 #define GAP_FACTOR 2
-#define GAP_DEFAULT_US (1600 * MH_US_PER_MS)
-/* Callers that were told to come back after; spread so that they do not
- * return together. */
+#define GAP_MIN_US (1600 * MH_US_PER_MS)
+/* Least time until a refused caller is to return; the spread keeps callers
+ * from returning together. */
 #define RETRY_MIN_US (150 * MH_US_PER_MS)
 #define RETRY_SPREAD 0.5
 /*
- * An engine reads the inputs of a request when it takes it on.  One that has
- * places does so at once; after this time the inputs are freed, since room
- * for them is what a burst runs out of.
+ * An engine reads the inputs of a request when it begins to work on it.  An
+ * engine with free slots does so at once: the inputs are freed after this time,
+ * since result memory is what runs out during a burst.
  */
-#define FED_US (80 * MH_US_PER_MS)
-/* Less time left than this is no use to an endpoint. */
-#define LEAST_LEFT_US (20 * MH_US_PER_MS)
+#define INPUTS_READ_US (80 * MH_US_PER_MS)
+/* With less time remaining, an endpoint can't produce an answer. */
+#define REMAINING_MIN_US (20 * MH_US_PER_MS)
 
 struct mh_gask *
 mh_gask_create(const char *id)
@@ -83,9 +85,9 @@
 	g_free(t);
 }
 
-/* The try is over for us; its endpoint is relieved of our count. */
+/* Ends the current try, which no longer counts as in flight at its endpoint. */
 static void
-leave_try(struct mh_gate *g, struct mh_gask *q, bool abort)
+close_try(struct mh_gate *g, struct mh_gask *q, bool abort)
 {
 	struct mh_try *t = q->cur;
 	struct mh_node *n;
@@ -104,11 +106,11 @@
 static void
 release_job(struct mh_gate *g, struct mh_gask *q)
 {
-	/* It would cancel the next one. */
+	/* The timer would release the next job of this request. */
 	mh_timer_stop(g->k, &q->fed);
 	if (q->job == NULL)
 		return;
-	if (q->state == MH_ASK_STAGES)
+	if (q->state == MH_GREQ_STAGES)
 		g->ops.cancel(g->ops.jobs, q->job);
 	else
 		g->ops.release(g->ops.jobs, q->job);
@@ -119,13 +121,13 @@
 void
 mh_gate_close(struct mh_gate *g, struct mh_gask *q, bool abort)
 {
-	leave_try(g, q, abort);
+	close_try(g, q, abort);
 	release_job(g, q);
-	q->state = MH_ASK_ENDED;
+	q->state = MH_GREQ_ENDED;
 	mh_timer_stop(g->k, &q->until);
 	mh_timer_stop(g->k, &q->patience);
 	mh_timer_stop(g->k, &q->turn);
-	g_hash_table_remove(g->asks, q);
+	g_hash_table_remove(g->requests, q);
 }
 
 void
@@ -159,7 +161,7 @@
 }
 
 static bool
-may_repeat(const struct mh_gask *q)
+may_retry(const struct mh_gask *q)
 {
 	uint32_t runs = q->runs;
 
@@ -168,19 +170,19 @@
 	return q->route->repeat != MH_REPEAT_NEVER && runs < q->route->attempts;
 }
 
-/* Whether it goes to another endpoint now; takes that from the budget. */
+/* Whether it may go to another endpoint now; counts against the budget. */
 static bool
-take_repeat(struct mh_gate *g, const struct mh_gask *q)
+take_retry(struct mh_gate *g, const struct mh_gask *q)
 {
-	return may_repeat(q) && q->n_tried < TRIES_MAX &&
-	    mh_gate_can_go_on(q) && mh_budget_take(g->budget, q->pool);
+	return may_retry(q) && q->n_tried < MAX_TRIES &&
+	    mh_gate_can_resume(q) && mh_budget_take(g->budget, q->pool);
 }
 
-/* Goes to another endpoint if that is allowed; else ends. */
+/* Retries at another endpoint if that is allowed; else refuses. */
 static void
-repeat_or(struct mh_gate *g, struct mh_gask *q, enum mh_gate_refusal why)
+retry_or_refuse(struct mh_gate *g, struct mh_gask *q, enum mh_gate_refusal why)
 {
-	if (!take_repeat(g, q)) {
+	if (!take_retry(g, q)) {
 		mh_gate_refuse(g, q, why, 0);
 		return;
 	}
@@ -189,14 +191,14 @@
 }
 
 static void
-on_patience(void *arg)
+on_silence(void *arg)
 {
 	struct mh_gask *q = arg;
 	struct mh_gate *g = q->gate;
 	struct mh_node *n;
 
 	q->patience = NULL;
-	if (q->cur == NULL || !take_repeat(g, q))
+	if (q->cur == NULL || !take_retry(g, q))
 		return;
 	n = mh_fleet_find(g->f, q->cur->node);
 	if (n != NULL)
@@ -204,26 +206,26 @@
 	mh_event(g->k, "silent",
 	    "id=%s node=%s waited_ms=%" PRId64 " after=%s held=%zu", q->id,
 	    q->cur->node, mh_ms(mh_now(g->k) - q->cur->sent_us),
-	    mh_gate_stream_after(q), mh_gate_stream_held(q));
+	    mh_gate_stream_after(q), mh_gate_stream_buffered(q));
 	mh_count(g->k, "repeats_silent", 1);
 	count_run(q, q->cur);
-	leave_try(g, q, true);
+	close_try(g, q, true);
 	mh_gate_try_next(g, q);
 }
 
 static void
-set_patience(struct mh_gate *g, struct mh_gask *q, int64_t us)
+set_silence_timer(struct mh_gate *g, struct mh_gask *q, int64_t us)
 {
 	mh_timer_stop(g->k, &q->patience);
-	q->patience = mh_timer_start(g->k, us, on_patience, q);
+	q->patience = mh_timer_start(g->k, us, on_silence, q);
 }
 
 static int64_t
-patience_us(const struct mh_gask *q)
+silence_us(const struct mh_gask *q)
 {
-	int64_t us = (int64_t)((double)q->route->aim_us * PATIENCE_SHARE);
+	int64_t us = (int64_t)((double)q->route->aim_us * SILENCE_SLO_RATIO);
 
-	return q->route->stream ? MAX(us, STREAM_PATIENCE_US) : us;
+	return q->route->stream ? MAX(us, STREAM_SILENCE_MIN_US) : us;
 }
 
 void
@@ -237,7 +239,8 @@
 		a->most = MAX(p->max_conns / MAX(g->entries, 1), 1);
 	a->cold_per_s = p == NULL ? 0 : p->cold_per_s;
 	a->turn = q->turn_at;
-	a->wait_by_us = MIN(q->aim_us, mh_gate_limit_us(g, q) - LEAST_LEFT_US);
+	a->wait_by_us =
+	    MIN(q->aim_us, mh_gate_limit_us(g, q) - REMAINING_MIN_US);
 	a->domain = g->domain;
 	a->n_parts = q->n_parts;
 	memcpy(a->parts, q->parts, sizeof(a->parts));
@@ -247,6 +250,7 @@
 		a->tried[i] = q->tried[i];
 }
 
+/* The engine has had time to read the inputs: they may be freed. */
 static void
 on_fed(void *arg)
 {
@@ -256,15 +260,15 @@
 	release_job(q->gate, q);
 }
 
-/* Whether an engine takes the next request on at once. */
+/* Whether an engine begins the next request at once. */
 static bool
-has_places(const struct mh_node *n)
+has_free_slots(const struct mh_node *n)
 {
 	return n->waiting == 0 && n->running < n->capacity * 3 / 4;
 }
 
 bool
-mh_gate_refuse_held(struct mh_gate *g, struct mh_gask *q)
+mh_gate_refuse_quarantined(struct mh_gate *g, struct mh_gask *q)
 {
 	int64_t us = mh_poison_held_us(g->k, q->print);
 
@@ -281,19 +285,19 @@
 }
 
 /*
- * What it runs on now would end under it as well, and what others have there
- * would break; its caller hears it at once.
+ * A try that goes on would crash its endpoint too, and with it the requests of
+ * other callers there.  So open requests are refused at once.
  */
 void
-mh_gate_held(struct mh_gate *g, uint64_t print)
+mh_gate_held(struct mh_gate *g, uint64_t fingerprint)
 {
-	GList *all = g_hash_table_get_keys(g->asks);
+	GList *all = g_hash_table_get_keys(g->requests);
 
 	for (GList *l = all; l != NULL; l = l->next) {
 		struct mh_gask *q = l->data;
 
-		if (q->print == print)
-			(void)mh_gate_refuse_held(g, q);
+		if (q->print == fingerprint)
+			(void)mh_gate_refuse_quarantined(g, q);
 	}
 	g_list_free(all);
 }
@@ -304,7 +308,7 @@
 	GHashTableIter it;
 	gpointer key;
 
-	g_hash_table_iter_init(&it, g->asks);
+	g_hash_table_iter_init(&it, g->requests);
 	while (g_hash_table_iter_next(&it, &key, NULL)) {
 		const struct mh_try *t = ((struct mh_gask *)key)->cur;
 
@@ -316,12 +320,12 @@
 }
 
 static bool
-may_ask_stages(const struct mh_gask *q)
+may_start_job(const struct mh_gask *q)
 {
-	return q->jobs < q->runs + JOBS_MORE;
+	return q->jobs < q->runs + EXTRA_JOBS;
 }
 
-/* Whether what its stages made was freed once an engine had read it. */
+/* Whether the results of its stages were freed after an engine read them. */
 static bool
 inputs_freed(const struct mh_gask *q)
 {
@@ -329,7 +333,7 @@
 }
 
 static void
-on_turn(void *arg)
+on_cold_slot(void *arg)
 {
 	struct mh_gask *q = arg;
 
@@ -337,7 +341,7 @@
 	mh_gate_try_next(q->gate, q);
 }
 
-/* No endpoint takes it now; a cold one may in time. */
+/* No endpoint can take it now; waits if a cold one can soon enough. */
 static void
 wait_or_refuse(
     struct mh_gate *g, struct mh_gask *q, const struct mh_place_ask *a)
@@ -356,7 +360,7 @@
 	    mh_ms(a->wait_us));
 	g_free(q->turn_at);
 	q->turn_at = g_strdup(a->turn_at);
-	q->turn = mh_timer_start(g->k, a->wait_us, on_turn, q);
+	q->turn = mh_timer_start(g->k, a->wait_us, on_cold_slot, q);
 }
 
 void
@@ -366,19 +370,19 @@
 	struct mh_node *n;
 	struct mh_try *t;
 
-	if (mh_gate_refuse_held(g, q))
+	if (mh_gate_refuse_quarantined(g, q))
 		return;
-	if (mh_gate_limit_us(g, q) - mh_now(g->k) < LEAST_LEFT_US) {
+	if (mh_gate_limit_us(g, q) - mh_now(g->k) < REMAINING_MIN_US) {
 		mh_gate_out_of_time(g, q);
 		return;
 	}
-	/* An endpoint that finds them gone would be asked in vain. */
-	if (inputs_freed(q) && may_ask_stages(q)) {
+	/* No endpoint can run it without its inputs: compute them again. */
+	if (inputs_freed(q) && may_start_job(q)) {
 		mh_gate_start_job(g, q);
 		return;
 	}
 	mh_gate_fill_place(g, q, &a);
-	n = q->n_tried < TRIES_MAX ? mh_place_pick(g->place, &a) : NULL;
+	n = q->n_tried < MAX_TRIES ? mh_place_pick(g->place, &a) : NULL;
 	if (n == NULL) {
 		wait_or_refuse(g, q, &a);
 		return;
@@ -399,8 +403,8 @@
 		    g->k, "plain_before_send", t->sent_us - q->arrived_us);
 	q->tried[q->n_tried++] = g_strdup(n->id);
 	q->cur = t;
-	if (q->state != MH_ASK_ANSWERING)
-		q->state = MH_ASK_TRYING;
+	if (q->state != MH_GREQ_ANSWERING)
+		q->state = MH_GREQ_TRYING;
 	mh_gate_set_limit(g, q);
 	n->inflight++;
 	mh_place_sent(g->place, &a, n);
@@ -415,28 +419,28 @@
 	    a.at_home, mh_node_cold(g->f, n), mh_ms(t->left_us),
 	    mh_gate_stream_after(q));
 	mh_timer_stop(g->k, &q->patience);
-	if (may_repeat(q))
-		set_patience(g, q, patience_us(q));
+	if (may_retry(q))
+		set_silence_timer(g, q, silence_us(q));
 	mh_timer_stop(g->k, &q->fed);
-	if (q->job != NULL && has_places(n))
-		q->fed = mh_timer_start(g->k, FED_US, on_fed, q);
+	if (q->job != NULL && has_free_slots(n))
+		q->fed = mh_timer_start(g->k, INPUTS_READ_US, on_fed, q);
 	g->ops.send(g->ops.arg, t);
 }
 
 /* answers */
 
-/* Not run by that endpoint, by its own word: another may. */
+/* The endpoint states that it did not run the request: another one may. */
 static void
-not_run(struct mh_gate *g, struct mh_gask *q, const struct mh_gans *a)
+retry_not_run(struct mh_gate *g, struct mh_gask *q, const struct mh_gans *a)
 {
-	leave_try(g, q, false);
-	if (a->inputs_gone && may_ask_stages(q)) {
+	close_try(g, q, false);
+	if (a->inputs_gone && may_start_job(q)) {
 		mh_count(g->k, "inputs_gone", 1);
 		release_job(g, q);
 		mh_gate_start_job(g, q);
 		return;
 	}
-	if (q->n_tried >= TRIES_MAX || !mh_budget_take(g->budget, q->pool)) {
+	if (q->n_tried >= MAX_TRIES || !mh_budget_take(g->budget, q->pool)) {
 		mh_gate_refuse(
 		    g, q, q->runs > 0 ? MH_RUN_FAILED : MH_TOO_BUSY, 0);
 		return;
@@ -445,11 +449,11 @@
 }
 
 /*
- * Events may come where the route is no stream; they need their reader, or
- * the adapter has none to give them to.
+ * An endpoint may answer with events although the route is no stream.  The
+ * adapter needs a reader for them, so one is created here.
  */
 static enum mh_verdict
-pass_head(struct mh_gate *g, struct mh_gask *q, const struct mh_gans *a)
+forward_head(struct mh_gate *g, struct mh_gask *q, const struct mh_gans *a)
 {
 	if (a->events && q->cursor == NULL)
 		q->cursor = mh_cursor_create(NULL, false);
@@ -462,23 +466,24 @@
 static enum mh_verdict
 failed_answer(struct mh_gate *g, struct mh_gask *q, const struct mh_gans *a)
 {
-	bool again = take_repeat(g, q);
+	bool retry = take_retry(g, q);
 
-	if (!again && a->genuine && !q->passed_head)
-		return pass_head(g, q, a); /* the endpoint's own failure */
-	leave_try(g, q, false);
-	if (again)
+	/* Without a retry, the caller gets the endpoint's own error. */
+	if (!retry && a->genuine && !q->passed_head)
+		return forward_head(g, q, a);
+	close_try(g, q, false);
+	if (retry)
 		mh_gate_try_next(g, q);
 	else
 		mh_gate_refuse(g, q, MH_RUN_FAILED, 0);
 	return MH_DROP;
 }
 
-/* Its endpoint has sent something, so that it has not ended. */
+/* The endpoint has sent something, so it has not crashed. */
 static void
-heard_of(struct mh_gate *g, const struct mh_try *t, const struct mh_node *n)
+note_alive(struct mh_gate *g, const struct mh_try *t, const struct mh_node *n)
 {
-	/* Without the time of its start it has another name after each. */
+	/* An endpoint without a start time has a new id after each restart. */
 	mh_poison_answered(
 	    g->k, t->node, t->sent_us, n != NULL && n->born_ms == 0);
 }
@@ -489,7 +494,7 @@
 	struct mh_gask *q = t->ask;
 	struct mh_node *n = mh_fleet_find(g->f, t->node);
 	int64_t took = mh_now(g->k) - t->sent_us;
-	bool goes_on;
+	bool continues;
 
 	if (n != NULL && a->told)
 		mh_node_told(g->f, n, a->running, a->waiting, a->slots);
@@ -498,31 +503,31 @@
 	if (n != NULL && a->told_warm)
 		mh_node_warm(g->f, n, a->warm_us);
 	if (!a->moved)
-		heard_of(g, t, n);
+		note_alive(g, t, n);
 	mh_event(g->k, "head",
 	    "id=%s node=%s status=%u not_run=%d genuine=%d took_ms=%" PRId64,
 	    q->id, t->node, a->status, a->not_run, a->genuine, mh_ms(took));
 	if (a->not_run) {
 		if (n != NULL && a->moved)
 			n->out_until_us = mh_now(g->k) + MH_US_PER_S;
-		not_run(g, q, a);
+		retry_not_run(g, q, a);
 		return MH_DROP;
 	}
 	count_run(q, t);
 	t->head_us = mh_now(g->k);
-	/* Anything but events would end the stream where it stands. */
-	goes_on = !q->passed_head || a->events;
-	if (n != NULL && a->genuine && a->status < 500 && goes_on)
+	/* Only events can continue a stream; anything else would end it. */
+	continues = !q->passed_head || a->events;
+	if (n != NULL && a->genuine && a->status < 500 && continues)
 		mh_node_good(g->f, n, took);
 	else if (n != NULL)
 		mh_node_bad(g->f, n, a->genuine ? "status" : "not-genuine");
-	if (a->genuine && a->status >= 500) /* it failed, and goes on */
+	if (a->genuine && a->status >= 500) /* failed, but did not crash */
 		mh_poison_ran(g->k, q->print, q->pool);
-	if (!a->genuine || a->status >= 500 || !goes_on)
+	if (!a->genuine || a->status >= 500 || !continues)
 		return failed_answer(g, q, a);
 	q->last_data_us = mh_now(g->k);
 	if (!q->passed_head)
-		return pass_head(g, q, a);
+		return forward_head(g, q, a);
 	mh_gate_read_events(g, t);
 	return MH_PASS_ON;
 }
@@ -545,20 +550,23 @@
 	struct mh_node *n = mh_fleet_find(g->f, t->node);
 
 	q->last_data_us = mh_now(g->k);
-	heard_of(g, t, n);
+	note_alive(g, t, n);
 	mh_gate_note_ids(n, t);
 	meter_answer(g, q);
-	if (q->state != MH_ASK_ANSWERING) {
-		q->state = MH_ASK_ANSWERING;
-		/* The engine has read its inputs. */
+	if (q->state != MH_GREQ_ANSWERING) {
+		q->state = MH_GREQ_ANSWERING;
+		/* An engine that answers has read its inputs. */
 		release_job(g, q);
 	}
-	if (q->route->stream && may_repeat(q))
-		set_patience(g, q,
-		    MAX(GAP_FACTOR * q->route->gap_aim_us, GAP_DEFAULT_US));
+	if (q->route->stream && may_retry(q))
+		set_silence_timer(
+		    g, q, MAX(GAP_FACTOR * q->route->gap_aim_us, GAP_MIN_US));
 }
 
-/* The endpoint may have ended; one that leaves, or has left, is to. */
+/*
+ * The endpoint may have crashed.  One that is draining or no longer listed is
+ * expected to exit, which tells nothing about the request.
+ */
 static void
 note_break(struct mh_gate *g, const struct mh_try *t, const struct mh_node *n)
 {
@@ -583,7 +591,7 @@
 		mh_gate_note_run(g, q);
 		mh_gate_log_end(g, q, "answered", 0);
 		mh_count(g->k, "answered", 1);
-		leave_try(g, q, false);
+		close_try(g, q, false);
 		mh_gate_close(g, q, false);
 		g->ops.finish(g->ops.arg, q);
 		return;
@@ -594,11 +602,11 @@
 	    q->id, t->node, end != MH_CALL_UNSENT,
 	    mh_ms(mh_now(g->k) - t->sent_us),
 	    t->head_us == 0 ? -1 : mh_ms(mh_now(g->k) - t->head_us), q->print,
-	    mh_gate_stream_after(q), mh_gate_stream_held(q));
+	    mh_gate_stream_after(q), mh_gate_stream_buffered(q));
 	/*
-	 * Only what could not be reached is told to others.  Answers that are
-	 * lost on the way come from sound endpoints as well, and half of a
-	 * pool would be left out for them.
+	 * Only an endpoint that can't be reached is reported to other entries.
+	 * Sound endpoints lose answers on the way too; reporting those would
+	 * eject half of a pool.
 	 */
 	if (n != NULL && end == MH_CALL_UNSENT)
 		mh_node_dead(g->f, n, "unreachable");
@@ -606,15 +614,15 @@
 		mh_node_bad(g->f, n, t->counted ? "broken" : "no-answer");
 	if (end != MH_CALL_UNSENT)
 		count_run(q, t);
-	/* An endpoint that sends what can't be read has not ended. */
+	/* An endpoint that sends a malformed answer has not crashed. */
 	if (end == MH_CALL_BROKEN)
 		note_break(g, t, n);
-	leave_try(g, q, false);
+	close_try(g, q, false);
 	if (end == MH_CALL_UNSENT) {
 		mh_gate_try_next(g, q);
 		return;
 	}
-	repeat_or(g, q, MH_RUN_FAILED);
+	retry_or_refuse(g, q, MH_RUN_FAILED);
 }
 
 void
@@ -625,12 +633,12 @@
 
 	mh_event(g->k, "spoiled", "id=%s node=%s why=%s after=%s held=%zu",
 	    q->id, t->node, why, mh_gate_stream_after(q),
-	    mh_gate_stream_held(q));
+	    mh_gate_stream_buffered(q));
 	mh_count(g->k, "answers_spoiled", 1);
 	if (n != NULL)
 		mh_node_bad(g->f, n, why);
-	leave_try(g, q, true);
-	repeat_or(g, q, MH_RUN_FAILED);
+	close_try(g, q, true);
+	retry_or_refuse(g, q, MH_RUN_FAILED);
 }
 
 struct mh_gate *
@@ -645,8 +653,8 @@
 	g->budget = b;
 	g->ops = *ops;
 	g->domain = g_strdup(domain);
-	g->asks = g_hash_table_new(NULL, NULL);
-	g->deadlines =
+	g->requests = g_hash_table_new(NULL, NULL);
+	g->max_deadlines =
 	    g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 	g->sizes =
 	    g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
@@ -656,17 +664,16 @@
 }
 
 void
-mh_gate_on_unknown(
-    struct mh_gate *g, int64_t (*behind_us)(void *arg), void *arg)
+mh_gate_on_unknown(struct mh_gate *g, int64_t (*stale_us)(void *arg), void *arg)
 {
-	g->behind_us = behind_us;
-	g->behind_arg = arg;
+	g->stale_us = stale_us;
+	g->stale_arg = arg;
 }
 
 void
-mh_gate_conf_most(struct mh_gate *g, int64_t most_us)
+mh_gate_conf_most(struct mh_gate *g, int64_t max_us)
 {
-	g->behind_most_us = most_us;
+	g->max_stale_us = max_us;
 }
 
 void
@@ -676,14 +683,14 @@
 
 	if (g == NULL)
 		return;
-	all = g_hash_table_get_keys(g->asks);
+	all = g_hash_table_get_keys(g->requests);
 	for (GList *l = all; l != NULL; l = l->next) {
 		mh_gate_log_cut(g, l->data);
 		mh_gate_close(g, l->data, true);
 	}
 	g_list_free(all);
-	g_hash_table_destroy(g->asks);
-	g_hash_table_destroy(g->deadlines);
+	g_hash_table_destroy(g->requests);
+	g_hash_table_destroy(g->max_deadlines);
 	g_hash_table_destroy(g->sizes);
 	g_hash_table_destroy(g->runs);
 	mh_gconf_unref(g->conf);
@@ -701,7 +708,7 @@
 uint32_t
 mh_gate_open(const struct mh_gate *g)
 {
-	return g_hash_table_size(g->asks);
+	return g_hash_table_size(g->requests);
 }
 
 void
--- a/lib/gate.h
+++ b/lib/gate.h
@@ -2,9 +2,9 @@
 #define GATE_H
 
 /*
- * The gate: opaque HTTP requests passed on to the endpoints of a pool, with
- * the stage work that a request needs first.  Nothing here knows the names
- * that a platform gives its headers, calls or fields.
+ * The gateway forwards opaque HTTP requests to the endpoints of a pool, after
+ * the stage work that a request needs.  Nothing here depends on the names that
+ * a platform gives its headers, calls or fields; an adapter translates them.
  */
 
 #include "opaque.h"
@@ -311,25 +311,26 @@
 void mh_place_sent(
     struct mh_place *p, const struct mh_place_ask *a, struct mh_node *n);
 
-/* budget.c: repeats as a share of recent requests */
+/* budget.c: retries as a share of recent requests */
 
 struct mh_budget;
 
 struct mh_budget_args {
-	double ratio; /* repeats a request */
-	double slack; /* repeats a window besides, of all entries */
+	double ratio; /* retries per request */
+	double slack; /* retries per window on top, shared by all entries */
 	int64_t window_us;
 };
 
 struct mh_budget *mh_budget_create(
     struct mh_kern *k, const struct mh_budget_args *a);
 void mh_budget_destroy(struct mh_budget *b);
-/** mh_budget_set() - other bounds, from now on. */
+/** mh_budget_set() - replaces the bounds; retries already spent still count. */
 void mh_budget_set(struct mh_budget *b, const struct mh_budget_args *a);
-/** mh_budget_entries() - the slack is shared by so many processes. */
+/** mh_budget_entries() - the slack is divided among @n processes. */
 void mh_budget_entries(struct mh_budget *b, uint32_t n);
+/** mh_budget_first() - counts a request that is no retry. */
 void mh_budget_first(struct mh_budget *b, const char *pool);
-/** mh_budget_take() - whether a repeat is allowed; counts it if so. */
+/** mh_budget_take() - whether a retry is allowed; counts it if so. */
 bool mh_budget_take(struct mh_budget *b, const char *pool);
 
 /* cell.c: the stage work of many requests, batched */
@@ -559,35 +560,35 @@
 
 struct mh_gate;
 
-enum mh_gstate {
-	MH_ASK_STAGES, /* its stage work is being done */
-	MH_ASK_TRYING, /* an endpoint has it */
-	MH_ASK_ANSWERING, /* the head of the answer was passed on */
-	MH_ASK_ENDED
+enum mh_greq_state {
+	MH_GREQ_STAGES, /* initial, and while its stage work is being done */
+	MH_GREQ_TRYING, /* sent to an endpoint, or waiting for one */
+	MH_GREQ_ANSWERING, /* a part of the answer has arrived */
+	MH_GREQ_ENDED
 };
 
-/** enum mh_gate_refusal - why the gate itself answers. */
+/** enum mh_gate_refusal - why the gateway itself answers. */
 enum mh_gate_refusal {
-	MH_NOT_READY, /* not run: no configuration yet, or we leave */
+	MH_NOT_READY, /* not run: no usable configuration, or draining */
 	MH_NO_ROUTE,
 	MH_BAD_KEY,
 	MH_BAD_REQUEST,
-	MH_TOO_BUSY, /* not run: come back later */
+	MH_TOO_BUSY, /* not run: retry later */
 	MH_NO_ENDPOINT, /* not run: none could be reached */
-	MH_NOT_IN_TIME, /* not run: its time was up before it was sent */
-	MH_HELD, /* not run: endpoints end under it */
-	MH_RUN_HELD, /* sent, and endpoints end under it */
-	MH_RUN_FAILED, /* sent, and no whole answer came */
-	MH_RUN_TIMEOUT /* sent, and its time is up */
+	MH_NOT_IN_TIME, /* not run: it expired before it was sent */
+	MH_HELD, /* not run: quarantined as a poison request */
+	MH_RUN_HELD, /* sent, then quarantined as a poison request */
+	MH_RUN_FAILED, /* sent, no complete answer arrived */
+	MH_RUN_TIMEOUT /* sent, expired before the answer was complete */
 };
 
 /** struct mh_gask - one request, as the adapter decoded it. */
 struct mh_gask {
 	char *id;
 	char *host;
-	const char *target; /* the adapter's */
+	const char *target; /* owned by the adapter */
 	char *key; /* NULL: none given */
-	int64_t deadline_us; /* from its arrival; 0: not given */
+	int64_t deadline_us; /* the caller's, from arrival; 0: not given */
 	struct mh_prompt_part parts[MH_PARTS];
 	uint32_t n_parts;
 	uint32_t tokens_in;
@@ -595,78 +596,81 @@
 	uint32_t pieces[MH_GSTAGES];
 	uint32_t n_pieces;
 	char *piece_key;
-	char *resume_after; /* id up to which its caller has it, or NULL */
-	uint64_t print; /* fingerprint: equal when the same is asked again */
-	void *wire; /* the adapter's own */
-	/* below: the gate's */
+	char *resume_after; /* last event id that the caller has, or NULL */
+	uint64_t print; /* the same for every request with this content */
+	void *wire;
+	/* set and used by the gateway */
 	struct mh_gate *gate;
-	enum mh_gstate state;
+	enum mh_greq_state state;
 	struct mh_gconf *conf;
 	struct mh_groute *route;
 	struct mh_gorg *org;
 	const char *pool;
 	int64_t arrived_us;
-	int64_t first_us; /* when the caller first asked, as far as known */
-	int64_t aim_us; /* absolute */
+	int64_t first_us; /* estimate: when the caller first tried */
+	int64_t aim_us; /* absolute latency objective */
 	int64_t until_us; /* absolute: the caller's or the route's limit */
-	int64_t first_by_us; /* absolute: its caller waits so long at most */
+	/* absolute: the caller leaves if no answer has begun by then */
+	int64_t first_by_us;
 	uint32_t priority;
-	bool returned;
+	bool returned; /* the caller was refused before and came back */
 	struct mh_job *job;
-	char *inputs; /* results of its stages */
+	char *inputs; /* references to the results of its stages */
 	struct mh_try *cur;
 	char *tried[MH_TRIED];
 	uint32_t n_tried;
 	uint32_t runs; /* endpoints that may have run it */
-	uint32_t jobs; /* times its stage work was asked for */
-	bool passed_head;
-	bool metered; /* its time to the answer was noted */
-	struct mh_cursor *cursor; /* of its stream; NULL: it is none */
+	uint32_t jobs; /* times its stage work was submitted */
+	bool passed_head; /* the caller has the head of an event stream */
+	bool metered; /* its time to the answer was observed */
+	struct mh_cursor *cursor; /* position in its stream; NULL: no stream */
 	int64_t last_data_us;
-	struct mh_timer *until;
-	struct mh_timer *patience;
-	struct mh_timer *fed; /* when its inputs will have been read */
-	struct mh_timer *turn; /* of a cold endpoint, when it comes */
-	char *turn_at; /* that endpoint */
+	struct mh_timer *until; /* at mh_gate_limit_us() */
+	struct mh_timer *patience; /* endpoint is silent for too long */
+	struct mh_timer *fed; /* the engine has read the inputs */
+	struct mh_timer *turn; /* time slot of a cold endpoint begins */
+	char *turn_at; /* id of that endpoint */
 };
 
-/** struct mh_try - one sending of a request to an endpoint. */
+/** struct mh_try - one attempt to send a request to an endpoint. */
 struct mh_try {
 	struct mh_gask *ask;
-	char *node; /* id */
-	char *name; /* what the endpoint calls itself */
+	char *node; /* id of the endpoint's incarnation */
+	char *name; /* the endpoint's own name, same after a restart */
 	char *addr;
 	int64_t sent_us;
-	int64_t head_us; /* its answer began; 0: not yet */
-	int64_t left_us; /* what the endpoint is told */
-	char *resume_after; /* id of the last event passed on */
-	bool fresh; /* on a new connection */
-	bool counted; /* among the runs of its request */
+	int64_t head_us; /* when its answer began; 0: not yet */
+	int64_t left_us; /* as sent to the endpoint */
+	char *resume_after; /* id of the last event the caller has, or NULL */
+	bool fresh; /* reuses no idle connection */
+	bool counted; /* included in the runs of its request */
 	struct mh_sse *events; /* NULL: no stream, or not begun */
-	void *call; /* the adapter's own */
+	void *call; /* the adapter's own data */
 };
 
-/** struct mh_gans - what an endpoint's head says, decoded. */
+/** struct mh_gans - the decoded head of an endpoint's answer. */
 struct mh_gans {
 	uint32_t status;
-	bool not_run; /* it says that it did not run the request */
-	bool moved; /* another endpoint has that address now */
-	bool inputs_gone;
-	bool genuine; /* signed, and its body unencoded */
-	bool events; /* its body is a stream of events */
-	bool told; /* the load below is given */
+	bool not_run; /* the endpoint states that it did not run the request */
+	bool moved; /* the address belongs to another endpoint now */
+	bool inputs_gone; /* results that the request needs are lost */
+	bool genuine; /* signed, and the body has no content encoding */
+	bool events; /* the body is a stream of events */
+	bool told; /* running, waiting and slots are given */
 	uint32_t running;
 	uint32_t waiting;
 	uint32_t slots;
-	uint32_t pace_percent; /* time that work takes there now; 0: not told */
-	bool told_warm; /* the time below is given */
-	int64_t warm_us; /* it is cold for so long */
+	/* duration of work there, percent of the usual; 0: not given */
+	uint32_t pace_percent;
+	bool told_warm; /* warm_us is given */
+	int64_t warm_us; /* the endpoint stays cold for this long */
 };
 
+/** enum mh_verdict - what the adapter does with an answer. */
 enum mh_verdict {
-	MH_PASS, /* head and body go to the caller */
-	MH_PASS_ON, /* the body continues an answer begun before */
-	MH_DROP /* the gate went on without it: abort the call */
+	MH_PASS, /* forward head and body to the caller */
+	MH_PASS_ON, /* forward the body: it continues an earlier answer */
+	MH_DROP /* abort the call: the gateway proceeds without it */
 };
 
 struct mh_gate_ops {
@@ -675,12 +679,14 @@
 	void (*refuse)(void *arg, struct mh_gask *q, enum mh_gate_refusal why,
 	    int64_t retry_us);
 	void (*finish)(void *arg, struct mh_gask *q); /* a complete answer */
+	/* ends an incomplete answer so that the caller can tell */
 	void (*break_off)(void *arg, struct mh_gask *q);
 	void *arg; /* of the above */
 	void (*submit)(void *jobs, struct mh_job *j);
 	void (*cancel)(void *jobs, struct mh_job *j);
+	/* the results of a finished job may be freed */
 	void (*release)(void *jobs, struct mh_job *j);
-	void *jobs; /* of these three */
+	void *jobs; /* of submit, cancel and release */
 };
 
 struct mh_gate *mh_gate_create(struct mh_kern *k, struct mh_fleet *f,
@@ -689,48 +695,57 @@
 void mh_gate_destroy(struct mh_gate *g);
 void mh_gate_conf(struct mh_gate *g, struct mh_gconf *conf);
 /**
- * mh_gate_on_unknown() - asked whether a later configuration is on its way.
+ * mh_gate_on_unknown() - sets the query for the age of a stale configuration.
+ * @stale_us: how long a newer one has been known to exist without having been
+ * received; 0: ours is the newest
  *
- * What ours does not know may stand in that one: it is refused for now.
+ * While ours is stale, a route or key that it lacks may be in the newer one:
+ * such requests get MH_NOT_READY instead of a permanent refusal.
  */
 void mh_gate_on_unknown(
-    struct mh_gate *g, int64_t (*behind_us)(void *arg), void *arg);
+    struct mh_gate *g, int64_t (*stale_us)(void *arg), void *arg);
 /**
- * mh_gate_conf_most() - once a later configuration has been on its way for so
- * long, requests are refused, not run by the one that we have; 0: never.
+ * mh_gate_conf_most() - once the configuration has been stale for @max_us,
+ * all requests are refused; 0: never.
  */
-void mh_gate_conf_most(struct mh_gate *g, int64_t most_us);
+void mh_gate_conf_most(struct mh_gate *g, int64_t max_us);
 struct mh_gask *mh_gask_create(const char *id);
 void mh_gask_destroy(struct mh_gask *q);
-/** mh_gate_take() - a request has come; ends with one of refuse, finish or
- * break_off, unless mh_gate_gone() comes first. */
+/**
+ * mh_gate_take() - handles a request that has arrived.
+ *
+ * It ends with one call of refuse, finish or break_off, unless mh_gate_gone()
+ * is called before.  @q stays the adapter's, to destroy after that.
+ */
 void mh_gate_take(struct mh_gate *g, struct mh_gask *q);
-/** mh_gate_gone() - its caller left; the request is forgotten. */
+/** mh_gate_gone() - its caller has disconnected; ends the request. */
 void mh_gate_gone(struct mh_gate *g, struct mh_gask *q);
 void mh_gate_job_end(
     struct mh_gate *g, struct mh_job *j, enum mh_job_end end, int64_t retry_us);
 enum mh_verdict mh_gate_head(
     struct mh_gate *g, struct mh_try *t, const struct mh_gans *a);
-/** mh_gate_progress() - a part of the answer has come. */
+/** mh_gate_progress() - a part of the answer has arrived. */
 void mh_gate_progress(struct mh_gate *g, struct mh_try *t);
+/** mh_gate_end() - the call of a try has ended. */
 void mh_gate_end(struct mh_gate *g, struct mh_try *t, enum mh_hcall_end end);
-/** mh_gate_spoiled() - what the try sends can't be passed on; ends it. */
+/** mh_gate_spoiled() - the answer can't be forwarded; aborts the try. */
 void mh_gate_spoiled(struct mh_gate *g, struct mh_try *t, const char *why);
+/** mh_gate_open() - number of requests that have not ended. */
 uint32_t mh_gate_open(const struct mh_gate *g);
 /** mh_gate_open_at() - a try sent to @endpoint before @us is still open. */
 bool mh_gate_open_at(const struct mh_gate *g, const char *endpoint, int64_t us);
-/** mh_gate_held() - requests of that print end now: endpoints end under it. */
-void mh_gate_held(struct mh_gate *g, uint64_t print);
-/** mh_gate_refusal_name() - as logs, counters and callers know it. */
+/** mh_gate_held() - ends open requests of a quarantined fingerprint. */
+void mh_gate_held(struct mh_gate *g, uint64_t fingerprint);
+/** mh_gate_refusal_name() - the name used in logs, counters and answers. */
 const char *mh_gate_refusal_name(enum mh_gate_refusal why);
-/** mh_gate_entries() - so many processes share an endpoint's connections. */
+/** mh_gate_entries() - @n processes share the connections of an endpoint. */
 void mh_gate_entries(struct mh_gate *g, uint32_t n);
 /**
- * mh_gate_leaving() - this process ends in @left_us.
+ * mh_gate_leaving() - drains: this process exits in @remaining_us.
  *
- * Nothing is open any more by then: what was taken has been answered, broken
- * off or refused, and new requests are taken only if they surely end in time.
+ * No request is open by then: what was accepted has been answered, broken off
+ * or refused.  New requests are accepted only if they should end in time.
  */
-void mh_gate_leaving(struct mh_gate *g, int64_t left_us);
+void mh_gate_leaving(struct mh_gate *g, int64_t remaining_us);
 
 #endif
--- a/lib/gatejob.c
+++ b/lib/gatejob.c
@@ -1,28 +1,28 @@
 /**
- * DOC: The stage work of a request, as the gate asks for it.
+ * DOC: Submits the stage work of a request and handles its end.
  */
 
 #include "gateint.h"
 
 #include <string.h>
 
-/* A generated token costs an engine about ten times one that is read. */
-#define OUT_WEIGHT 10
-/* Part of a request's worth that is the same whatever its size. */
-#define FIXED_WORTH 0.3
-#define SIZE_WEIGHT 0.05
-/* Time from the stages' end to the first event: prefill and a step. */
+/* A generated token costs an engine about ten times as much as a read one. */
+#define OUT_TOKEN_WEIGHT 10
+/* Part of a request's weight that does not depend on its size. */
+#define FIXED_WEIGHT 0.3
+#define SIZE_EWMA_WEIGHT 0.05
+/* Time from the end of the stages to the first event: prefill and one step. */
 #define ENGINE_US (150 * MH_US_PER_MS)
 #define ENGINE_US_PER_TOKEN 40
 
 /*
- * What a request is worth over the mean of its route: part of it is the same
- * for all, the rest goes by its weighted tokens.
+ * The weight of a request relative to the mean of its route: a fixed part, and
+ * a part in proportion to its weighted tokens.
  */
 static double
-weight_of(struct mh_gate *g, const struct mh_gask *q)
+job_weight(struct mh_gate *g, const struct mh_gask *q)
 {
-	double size = q->tokens_in + OUT_WEIGHT * (double)q->tokens_out;
+	double size = q->tokens_in + OUT_TOKEN_WEIGHT * (double)q->tokens_out;
 	double *mean = g_hash_table_lookup(g->sizes, q->route->name);
 
 	if (size <= 0)
@@ -32,25 +32,26 @@
 		*mean = size;
 		g_hash_table_insert(g->sizes, g_strdup(q->route->name), mean);
 	}
-	*mean += SIZE_WEIGHT * (size - *mean);
-	return FIXED_WORTH + (1 - FIXED_WORTH) * size / *mean;
+	*mean += SIZE_EWMA_WEIGHT * (size - *mean);
+	return FIXED_WEIGHT + (1 - FIXED_WEIGHT) * size / *mean;
 }
 
 /*
- * The engine takes some of the time until its first event.  Of a stream that is
- * gone on with the next event is due now, and its caller leaves when none comes
- * for too long.
+ * The stages get the time that the engine does not need for the first event.
+ * When a stream fails over, its next event is due now, and the caller leaves if
+ * none arrives within the client timeout.
  */
 static void
 set_times(struct mh_gate *g, const struct mh_gask *q, struct mh_job *j)
 {
 	int64_t engine_us =
 	    ENGINE_US + (int64_t)q->tokens_in * ENGINE_US_PER_TOKEN;
-	int64_t gone_us = q->last_data_us + mh_gate_patience_us(q->route);
+	int64_t leaves_us =
+	    q->last_data_us + mh_gate_client_timeout_us(q->route);
 
 	if (q->passed_head) {
 		j->aim_us = mh_now(g->k) + q->route->gap_aim_us;
-		j->deadline_us = MIN(q->until_us, gone_us) - engine_us;
+		j->deadline_us = MIN(q->until_us, leaves_us) - engine_us;
 	} else {
 		j->aim_us = q->aim_us - engine_us;
 		j->deadline_us = q->first_by_us - engine_us;
@@ -63,18 +64,18 @@
 	struct mh_job *j = mh_job_create(q->id);
 	const struct mh_groute *r = q->route;
 	struct mh_place_ask a = { 0 };
-	const struct mh_node *home;
+	const struct mh_node *cached;
 
 	mh_gate_fill_place(g, q, &a);
-	home = mh_place_home(g->place, &a);
-	if (home != NULL)
-		j->domain = g_strdup(home->domain);
+	cached = mh_place_home(g->place, &a);
+	if (cached != NULL)
+		j->domain = g_strdup(cached->domain);
 	j->key = g_strdup(q->piece_key);
 	j->route = g_strdup(r->name);
 	j->print = q->print;
 	j->priority = q->priority;
 	j->returned = q->returned;
-	j->weight = weight_of(g, q);
+	j->weight = job_weight(g, q);
 	j->arrived_us = q->arrived_us;
 	set_times(g, q, j);
 	j->n_stages = r->n_stages;
@@ -87,20 +88,20 @@
 	j->owner = q;
 	q->job = j;
 	q->jobs++;
-	q->state = MH_ASK_STAGES;
+	q->state = MH_GREQ_STAGES;
 	mh_gate_set_limit(g, q);
 	g->ops.submit(g->ops.jobs, j);
 }
 
-/* Its stage work is not done, and will not be. */
+/* Refuses a request whose stage work will not be done. */
 static void
 give_up(struct mh_gate *g, struct mh_gask *q, enum mh_gate_refusal why,
     int64_t retry_us)
 {
-	if (q->runs > 0) /* an endpoint had it before its inputs were gone */
+	if (q->runs > 0) /* an endpoint had it before its inputs were lost */
 		mh_gate_refuse(g, q, MH_RUN_FAILED, 0);
 	else if (mh_gate_limit_us(g, q) < q->first_by_us)
-		mh_gate_refuse(g, q, MH_NOT_READY, 0); /* our end is too near */
+		mh_gate_refuse(g, q, MH_NOT_READY, 0); /* exits too soon */
 	else
 		mh_gate_refuse(g, q, why, retry_us);
 }
@@ -114,7 +115,7 @@
 	switch (end) {
 	case MH_JOB_DONE:
 		mh_observe(g->k, "stage_work", mh_now(g->k) - q->arrived_us);
-		q->state = MH_ASK_TRYING;
+		q->state = MH_GREQ_TRYING;
 		g_free(q->inputs);
 		q->inputs = mh_job_finals(j);
 		mh_gate_try_next(g, q);
--- a/lib/gatelog.c
+++ b/lib/gatelog.c
@@ -1,5 +1,5 @@
 /**
- * DOC: The lines that tell what became of a request.
+ * DOC: Log lines about the end of a request.
  */
 
 #include "gateint.h"
@@ -14,7 +14,7 @@
 }
 
 size_t
-mh_gate_stream_held(const struct mh_gask *q)
+mh_gate_stream_buffered(const struct mh_gask *q)
 {
 	return q->cur == NULL || q->cur->events == NULL
 	    ? 0
@@ -58,17 +58,17 @@
 }
 
 static const char *
-state_name(enum mh_gstate state)
+state_name(enum mh_greq_state state)
 {
-	static const char *const names[] = { [MH_ASK_STAGES] = "stages",
-		[MH_ASK_TRYING] = "sent",
-		[MH_ASK_ANSWERING] = "answering",
-		[MH_ASK_ENDED] = "ended" };
+	static const char *const names[] = { [MH_GREQ_STAGES] = "stages",
+		[MH_GREQ_TRYING] = "sent",
+		[MH_GREQ_ANSWERING] = "answering",
+		[MH_GREQ_ENDED] = "ended" };
 
 	return names[state];
 }
 
-/* A caller whose request this is gets no answer: how far had it come? */
+/* The caller of this request gets no answer; logs how far it had come. */
 void
 mh_gate_log_cut(struct mh_gate *g, const struct mh_gask *q)
 {
--- a/lib/gatestream.c
+++ b/lib/gatestream.c
@@ -1,16 +1,16 @@
 /**
- * DOC: The events of a stream, as the gate hands them from run to run.
+ * DOC: The events of a stream across the runs that produce it.
  */
 
 #include "gateint.h"
 
 /*
- * What has reached the caller can be gone on with by a route that resumes
- * alone, and only where another run can be told the last event: it would begin
- * anew and double what was passed on.
+ * Once the caller has a part of a stream, another run can continue it only on a
+ * resumable route and if the last event has an id to resume after.  Otherwise
+ * the run would start over and duplicate events.
  */
 bool
-mh_gate_can_go_on(const struct mh_gask *q)
+mh_gate_can_resume(const struct mh_gask *q)
 {
 	return !q->passed_head ||
 	    (q->route->repeat == MH_REPEAT_RESUME &&
@@ -18,8 +18,9 @@
 }
 
 /*
- * The reader ends with its try, however that ends: half of an event left with
- * the request would be joined to the first bytes of the next run.
+ * The reader belongs to the try and is destroyed with it, however the try ends.
+ * If it stayed with the request, half an event would be joined to the first
+ * bytes of the next run.
  */
 void
 mh_gate_read_events(struct mh_gate *g, struct mh_try *t)
@@ -30,14 +31,14 @@
 	    mh_sse_create(t->ask->cursor, n == NULL ? MH_IDS_UNKNOWN : n->ids);
 }
 
-/* How the endpoint numbers events, from the streams that begin there. */
+/* Learns from streams that begin at an endpoint how it numbers events. */
 void
 mh_gate_note_ids(struct mh_node *n, const struct mh_try *t)
 {
 	enum mh_ids ids =
 	    t->events == NULL ? MH_IDS_UNKNOWN : mh_sse_ids(t->events);
 
-	/* Elsewhere nothing is said of ids. */
+	/* Event ids of other routes follow no rule. */
 	if (!t->ask->route->stream)
 		return;
 	if (n != NULL && ids != MH_IDS_UNKNOWN && n->ids != MH_IDS_COUNT)
--- a/lib/gatetake.c
+++ b/lib/gatetake.c
@@ -1,5 +1,5 @@
 /**
- * DOC: A request arrives: its route, organisation and times.
+ * DOC: Admission of a request: its route, organisation and time limits.
  */
 
 #include "gateint.h"
@@ -7,27 +7,30 @@
 #include <string.h>
 
 /*
- * Callers of a stream give up on its next event after the longest of these;
- * what would come later is work for nobody.
+ * Callers of a stream give up on the next event after the longest of
+ * TIMEOUT_SLOS latency objectives, TIMEOUT_GAPS times the longest pause of a
+ * good stream, and TIMEOUT_MIN_US.  Work that ends later is wasted, so the
+ * gateway plans with TIMEOUT_PERCENT of that time.
  */
-#define PATIENCE_AIMS 4
-#define PATIENCE_GAPS 8
-#define PATIENCE_LEAST_US (2 * MH_US_PER_S)
-#define PATIENCE_PERCENT 90
+#define TIMEOUT_SLOS 4
+#define TIMEOUT_GAPS 8
+#define TIMEOUT_MIN_US (2 * MH_US_PER_S)
+#define TIMEOUT_PERCENT 90
 /*
- * Callers give between 0.85 and 1 times their route's longest time; less than
- * that is what was left to one that was refused before and has come back.
+ * Callers give deadlines between 0.85 and 1 times the longest of their route.
+ * A shorter one is the time remaining to a caller that was refused before and
+ * has come back.
  */
-#define RETURNED_BELOW 0.84
-#define GIVEN_MEAN 0.925
+#define RETURNED_RATIO 0.84
+#define MEAN_DEADLINE_RATIO 0.925
 
 int64_t
-mh_gate_patience_us(const struct mh_groute *r)
+mh_gate_client_timeout_us(const struct mh_groute *r)
 {
 	int64_t us =
-	    MAX(PATIENCE_AIMS * r->aim_us, PATIENCE_GAPS * r->gap_aim_us);
+	    MAX(TIMEOUT_SLOS * r->aim_us, TIMEOUT_GAPS * r->gap_aim_us);
 
-	return MAX(us, PATIENCE_LEAST_US) * PATIENCE_PERCENT / 100;
+	return MAX(us, TIMEOUT_MIN_US) * TIMEOUT_PERCENT / 100;
 }
 
 static bool
@@ -41,14 +44,15 @@
 }
 
 /*
- * A caller that comes back gives the time that is left to it; its aim still
- * counts from its first asking, which is worked out from the time that is
- * missing.
+ * A caller that comes back gives its remaining time.  Its latency objective
+ * still counts from its first attempt, whose time is estimated from how much of
+ * the usual deadline is used up.
  */
 static void
 set_times(struct mh_gate *g, struct mh_gask *q)
 {
-	int64_t *longest = g_hash_table_lookup(g->deadlines, q->route->name);
+	int64_t *longest =
+	    g_hash_table_lookup(g->max_deadlines, q->route->name);
 	int64_t now = mh_now(g->k), given = q->deadline_us;
 
 	if (given <= 0)
@@ -56,44 +60,45 @@
 	if (longest == NULL) {
 		longest = g_new0(int64_t, 1);
 		g_hash_table_insert(
-		    g->deadlines, g_strdup(q->route->name), longest);
+		    g->max_deadlines, g_strdup(q->route->name), longest);
 	}
 	*longest = MAX(*longest, given);
-	q->returned = (double)given < RETURNED_BELOW * (double)*longest;
+	q->returned = (double)given < RETURNED_RATIO * (double)*longest;
 	q->first_us = now;
 	if (q->returned)
-		q->first_us -= (int64_t)(GIVEN_MEAN * (double)*longest) - given;
+		q->first_us -=
+		    (int64_t)(MEAN_DEADLINE_RATIO * (double)*longest) - given;
 	q->aim_us = q->first_us + q->route->aim_us;
 	q->until_us = now + MIN(given, q->route->timeout_us);
 	q->first_by_us = q->until_us;
 	if (q->route->stream) {
-		/* Later than this nobody reads its first event. */
+		/* After this time the caller has left. */
 		q->first_by_us =
-		    MIN(q->until_us, now + mh_gate_patience_us(q->route));
+		    MIN(q->until_us, now + mh_gate_client_timeout_us(q->route));
 	}
 }
 
 static int64_t
-behind_us(const struct mh_gate *g)
+stale_us(const struct mh_gate *g)
 {
-	return g->behind_us == NULL ? 0 : g->behind_us(g->behind_arg);
+	return g->stale_us == NULL ? 0 : g->stale_us(g->stale_arg);
 }
 
 static void
 refuse_unknown(struct mh_gate *g, struct mh_gask *q, enum mh_gate_refusal why)
 {
-	mh_gate_refuse(g, q, behind_us(g) > 0 ? MH_NOT_READY : why, 0);
+	mh_gate_refuse(g, q, stale_us(g) > 0 ? MH_NOT_READY : why, 0);
 }
 
 /*
- * A later one is known to others, and does not come: what this one allows may
- * not be allowed any more.
+ * Other processes have a newer configuration that has not arrived here: what
+ * ours allows may no longer be allowed.
  */
 static bool
 conf_is_overdue(struct mh_gate *g)
 {
-	int64_t us = behind_us(g);
-	bool overdue = g->behind_most_us > 0 && us >= g->behind_most_us;
+	int64_t us = stale_us(g);
+	bool overdue = g->max_stale_us > 0 && us >= g->max_stale_us;
 
 	if (overdue && !g->overdue)
 		mh_event(g->k, "conf-overdue",
@@ -110,7 +115,7 @@
 	q->arrived_us = mh_now(g->k);
 	q->until_us = q->arrived_us;
 	q->aim_us = q->arrived_us;
-	g_hash_table_add(g->asks, q);
+	g_hash_table_add(g->requests, q);
 	if (g->conf == NULL || conf_is_overdue(g)) {
 		mh_gate_refuse(g, q, MH_NOT_READY, 0);
 		return;
@@ -139,7 +144,7 @@
 		mh_gate_refuse(g, q, MH_NOT_READY, 0);
 		return;
 	}
-	if (mh_gate_refuse_held(g, q))
+	if (mh_gate_refuse_quarantined(g, q))
 		return;
 	mh_event(g->k, "ask",
 	    "id=%s route=%s org=%s config=%" PRIu64 " pool=%s given_ms=%" PRId64
@@ -162,7 +167,7 @@
 void
 mh_gate_gone(struct mh_gate *g, struct mh_gask *q)
 {
-	if (q->state == MH_ASK_ENDED)
+	if (q->state == MH_GREQ_ENDED)
 		return;
 	mh_gate_log_end(g, q, "caller_left", 0);
 	mh_count(g->k, "callers_left", 1);
