--- a/lib/budget.c
+++ b/lib/budget.c
@@ -118,7 +118,7 @@
 }
 
 void
-mh_budget_first(struct mh_budget *b, const char *pool)
+mh_budget_request(struct mh_budget *b, const char *pool)
 {
 	struct window *w = window_of(b, pool);
 
--- a/lib/gate.c
+++ b/lib/gate.c
@@ -41,17 +41,17 @@
 /* With less time remaining, an endpoint can't produce an answer. */
 #define REMAINING_MIN_US (20 * MH_US_PER_MS)
 
-struct mh_gask *
-mh_gask_create(const char *id)
+struct mh_greq *
+mh_greq_create(const char *id)
 {
-	struct mh_gask *q = g_new0(struct mh_gask, 1);
+	struct mh_greq *q = g_new0(struct mh_greq, 1);
 
 	q->id = g_strdup(id);
 	return q;
 }
 
 void
-mh_gask_destroy(struct mh_gask *q)
+mh_greq_destroy(struct mh_greq *q)
 {
 	if (q == NULL)
 		return;
@@ -66,7 +66,7 @@
 	g_free(q->key);
 	g_free(q->piece_key);
 	g_free(q->resume_after);
-	g_free(q->turn_at);
+	g_free(q->slot_node);
 	g_free(q);
 }
 
@@ -87,7 +87,7 @@
 
 /* Ends the current try, which no longer counts as in flight at its endpoint. */
 static void
-close_try(struct mh_gate *g, struct mh_gask *q, bool abort)
+close_try(struct mh_gate *g, struct mh_greq *q, bool abort)
 {
 	struct mh_try *t = q->cur;
 	struct mh_node *n;
@@ -104,10 +104,10 @@
 }
 
 static void
-release_job(struct mh_gate *g, struct mh_gask *q)
+release_job(struct mh_gate *g, struct mh_greq *q)
 {
 	/* The timer would release the next job of this request. */
-	mh_timer_stop(g->k, &q->fed);
+	mh_timer_stop(g->k, &q->inputs_timer);
 	if (q->job == NULL)
 		return;
 	if (q->state == MH_GREQ_STAGES)
@@ -119,23 +119,24 @@
 }
 
 void
-mh_gate_close(struct mh_gate *g, struct mh_gask *q, bool abort)
+mh_gate_close(struct mh_gate *g, struct mh_greq *q, bool abort)
 {
 	close_try(g, q, abort);
 	release_job(g, q);
 	q->state = MH_GREQ_ENDED;
-	mh_timer_stop(g->k, &q->until);
-	mh_timer_stop(g->k, &q->patience);
-	mh_timer_stop(g->k, &q->turn);
+	mh_timer_stop(g->k, &q->expiry_timer);
+	mh_timer_stop(g->k, &q->silence_timer);
+	mh_timer_stop(g->k, &q->slot_timer);
 	g_hash_table_remove(g->requests, q);
 }
 
 void
-mh_gate_refuse(struct mh_gate *g, struct mh_gask *q, enum mh_gate_refusal why,
+mh_gate_refuse(struct mh_gate *g, struct mh_greq *q, enum mh_gate_refusal why,
     int64_t retry_us)
 {
 	bool later = why == MH_NOT_READY || why == MH_TOO_BUSY ||
-	    why == MH_NO_ENDPOINT || why == MH_NOT_IN_TIME || why == MH_HELD;
+	    why == MH_NO_ENDPOINT || why == MH_NOT_IN_TIME ||
+	    why == MH_QUARANTINED;
 
 	if (later) {
 		retry_us = MAX(retry_us, RETRY_MIN_US);
@@ -145,7 +146,7 @@
 	mh_gate_log_end(g, q, mh_gate_refusal_name(why), retry_us);
 	mh_count(g->k, mh_gate_refusal_name(why), 1);
 	mh_gate_close(g, q, true);
-	if (q->passed_head)
+	if (q->head_forwarded)
 		g->ops.break_off(g->ops.arg, q);
 	else
 		g->ops.refuse(g->ops.arg, q, why, later ? retry_us : 0);
@@ -153,7 +154,7 @@
 
 /* The endpoint may have begun to work on it. */
 static void
-count_run(struct mh_gask *q, struct mh_try *t)
+count_run(struct mh_greq *q, struct mh_try *t)
 {
 	if (!t->counted)
 		q->runs++;
@@ -161,7 +162,7 @@
 }
 
 static bool
-may_retry(const struct mh_gask *q)
+may_retry(const struct mh_greq *q)
 {
 	uint32_t runs = q->runs;
 
@@ -172,7 +173,7 @@
 
 /* Whether it may go to another endpoint now; counts against the budget. */
 static bool
-take_retry(struct mh_gate *g, const struct mh_gask *q)
+take_retry(struct mh_gate *g, const struct mh_greq *q)
 {
 	return may_retry(q) && q->n_tried < MAX_TRIES &&
 	    mh_gate_can_resume(q) && mh_budget_take(g->budget, q->pool);
@@ -180,7 +181,7 @@
 
 /* Retries at another endpoint if that is allowed; else refuses. */
 static void
-retry_or_refuse(struct mh_gate *g, struct mh_gask *q, enum mh_gate_refusal why)
+retry_or_refuse(struct mh_gate *g, struct mh_greq *q, enum mh_gate_refusal why)
 {
 	if (!take_retry(g, q)) {
 		mh_gate_refuse(g, q, why, 0);
@@ -193,11 +194,11 @@
 static void
 on_silence(void *arg)
 {
-	struct mh_gask *q = arg;
+	struct mh_greq *q = arg;
 	struct mh_gate *g = q->gate;
 	struct mh_node *n;
 
-	q->patience = NULL;
+	q->silence_timer = NULL;
 	if (q->cur == NULL || !take_retry(g, q))
 		return;
 	n = mh_fleet_find(g->f, q->cur->node);
@@ -214,14 +215,14 @@
 }
 
 static void
-set_silence_timer(struct mh_gate *g, struct mh_gask *q, int64_t us)
+set_silence_timer(struct mh_gate *g, struct mh_greq *q, int64_t us)
 {
-	mh_timer_stop(g->k, &q->patience);
-	q->patience = mh_timer_start(g->k, us, on_silence, q);
+	mh_timer_stop(g->k, &q->silence_timer);
+	q->silence_timer = mh_timer_start(g->k, us, on_silence, q);
 }
 
 static int64_t
-silence_us(const struct mh_gask *q)
+silence_us(const struct mh_greq *q)
 {
 	int64_t us = (int64_t)((double)q->route->aim_us * SILENCE_SLO_RATIO);
 
@@ -230,7 +231,7 @@
 
 void
 mh_gate_fill_place(
-    struct mh_gate *g, const struct mh_gask *q, struct mh_place_ask *a)
+    struct mh_gate *g, const struct mh_greq *q, struct mh_place_ask *a)
 {
 	const struct mh_gpool *p = mh_gconf_pool(q->conf, q->pool);
 
@@ -238,13 +239,13 @@
 	if (p != NULL)
 		a->most = MAX(p->max_conns / MAX(g->entries, 1), 1);
 	a->cold_per_s = p == NULL ? 0 : p->cold_per_s;
-	a->turn = q->turn_at;
+	a->turn = q->slot_node;
 	a->wait_by_us =
-	    MIN(q->aim_us, mh_gate_limit_us(g, q) - REMAINING_MIN_US);
+	    MIN(q->slo_by_us, mh_gate_limit_us(g, q) - REMAINING_MIN_US);
 	a->domain = g->domain;
 	a->n_parts = q->n_parts;
 	memcpy(a->parts, q->parts, sizeof(a->parts));
-	a->apart = mh_poison_apart(g->k, q->print, q->pool);
+	a->apart = mh_poison_apart(g->k, q->fingerprint, q->pool);
 	a->n_tried = q->n_tried;
 	for (uint32_t i = 0; i < q->n_tried; i++)
 		a->tried[i] = q->tried[i];
@@ -254,9 +255,9 @@
 static void
 on_fed(void *arg)
 {
-	struct mh_gask *q = arg;
+	struct mh_greq *q = arg;
 
-	q->fed = NULL;
+	q->inputs_timer = NULL;
 	release_job(q->gate, q);
 }
 
@@ -268,19 +269,19 @@
 }
 
 bool
-mh_gate_refuse_quarantined(struct mh_gate *g, struct mh_gask *q)
+mh_gate_refuse_quarantined(struct mh_gate *g, struct mh_greq *q)
 {
-	int64_t us = mh_poison_held_us(g->k, q->print);
+	int64_t us = mh_poison_held_us(g->k, q->fingerprint);
 
 	if (us == 0)
 		return false;
 	mh_event(g->k, "held",
 	    "id=%s print=%016" PRIx64 " runs=%u sent=%d left_ms=%" PRId64,
-	    q->id, q->print, q->runs, q->cur != NULL, mh_ms(us));
+	    q->id, q->fingerprint, q->runs, q->cur != NULL, mh_ms(us));
 	if (q->runs > 0 || q->cur != NULL)
-		mh_gate_refuse(g, q, MH_RUN_HELD, 0);
+		mh_gate_refuse(g, q, MH_RUN_QUARANTINED, 0);
 	else
-		mh_gate_refuse(g, q, MH_HELD, us);
+		mh_gate_refuse(g, q, MH_QUARANTINED, us);
 	return true;
 }
 
@@ -289,14 +290,14 @@
  * other callers there.  So open requests are refused at once.
  */
 void
-mh_gate_held(struct mh_gate *g, uint64_t fingerprint)
+mh_gate_quarantine(struct mh_gate *g, uint64_t fingerprint)
 {
 	GList *all = g_hash_table_get_keys(g->requests);
 
 	for (GList *l = all; l != NULL; l = l->next) {
-		struct mh_gask *q = l->data;
+		struct mh_greq *q = l->data;
 
-		if (q->print == fingerprint)
+		if (q->fingerprint == fingerprint)
 			(void)mh_gate_refuse_quarantined(g, q);
 	}
 	g_list_free(all);
@@ -310,7 +311,7 @@
 
 	g_hash_table_iter_init(&it, g->requests);
 	while (g_hash_table_iter_next(&it, &key, NULL)) {
-		const struct mh_try *t = ((struct mh_gask *)key)->cur;
+		const struct mh_try *t = ((struct mh_greq *)key)->cur;
 
 		if (t != NULL && t->sent_us < us &&
 		    strcmp(t->node, endpoint) == 0)
@@ -320,14 +321,14 @@
 }
 
 static bool
-may_start_job(const struct mh_gask *q)
+may_start_job(const struct mh_greq *q)
 {
-	return q->jobs < q->runs + EXTRA_JOBS;
+	return q->n_jobs < q->runs + EXTRA_JOBS;
 }
 
 /* Whether the results of its stages were freed after an engine read them. */
 static bool
-inputs_freed(const struct mh_gask *q)
+inputs_freed(const struct mh_greq *q)
 {
 	return q->inputs != NULL && *q->inputs != '\0' && q->job == NULL;
 }
@@ -335,16 +336,16 @@
 static void
 on_cold_slot(void *arg)
 {
-	struct mh_gask *q = arg;
+	struct mh_greq *q = arg;
 
-	q->turn = NULL;
+	q->slot_timer = NULL;
 	mh_gate_try_next(q->gate, q);
 }
 
 /* No endpoint can take it now; waits if a cold one can soon enough. */
 static void
 wait_or_refuse(
-    struct mh_gate *g, struct mh_gask *q, const struct mh_place_ask *a)
+    struct mh_gate *g, struct mh_greq *q, const struct mh_place_ask *a)
 {
 	bool waits =
 	    a->wait_us > 0 && mh_now(g->k) + a->wait_us <= a->wait_by_us;
@@ -358,13 +359,13 @@
 	mh_event(g->k, "cold-wait", "id=%s pool=%s node=%s wait_ms=%" PRId64,
 	    q->id, q->pool, a->turn_at == NULL ? "" : a->turn_at,
 	    mh_ms(a->wait_us));
-	g_free(q->turn_at);
-	q->turn_at = g_strdup(a->turn_at);
-	q->turn = mh_timer_start(g->k, a->wait_us, on_cold_slot, q);
+	g_free(q->slot_node);
+	q->slot_node = g_strdup(a->turn_at);
+	q->slot_timer = mh_timer_start(g->k, a->wait_us, on_cold_slot, q);
 }
 
 void
-mh_gate_try_next(struct mh_gate *g, struct mh_gask *q)
+mh_gate_try_next(struct mh_gate *g, struct mh_greq *q)
 {
 	struct mh_place_ask a = { 0 };
 	struct mh_node *n;
@@ -387,15 +388,15 @@
 		wait_or_refuse(g, q, &a);
 		return;
 	}
-	g_clear_pointer(&q->turn_at, g_free);
+	g_clear_pointer(&q->slot_node, g_free);
 	t = g_new0(struct mh_try, 1);
-	t->ask = q;
+	t->req = q;
 	t->node = g_strdup(n->id);
 	t->name = g_strdup(n->name);
 	t->addr = g_strdup(n->addr);
 	t->sent_us = mh_now(g->k);
-	t->left_us = q->until_us - mh_now(g->k);
-	t->fresh = q->n_tried > 0;
+	t->remaining_us = q->expires_us - mh_now(g->k);
+	t->new_conn = q->n_tried > 0;
 	if (q->cursor != NULL)
 		t->resume_after = g_strdup(mh_cursor_last_id(q->cursor));
 	if (q->n_tried == 0 && q->job == NULL)
@@ -416,14 +417,15 @@
 	    q->id, q->route->name, n->id, q->pool, q->n_tried, n->inflight,
 	    n->running, n->waiting,
 	    n->told_us > 0 ? mh_ms(mh_now(g->k) - n->told_us) : -1, n->fail,
-	    a.at_home, mh_node_cold(g->f, n), mh_ms(t->left_us),
+	    a.at_home, mh_node_cold(g->f, n), mh_ms(t->remaining_us),
 	    mh_gate_stream_after(q));
-	mh_timer_stop(g->k, &q->patience);
+	mh_timer_stop(g->k, &q->silence_timer);
 	if (may_retry(q))
 		set_silence_timer(g, q, silence_us(q));
-	mh_timer_stop(g->k, &q->fed);
+	mh_timer_stop(g->k, &q->inputs_timer);
 	if (q->job != NULL && has_free_slots(n))
-		q->fed = mh_timer_start(g->k, INPUTS_READ_US, on_fed, q);
+		q->inputs_timer =
+		    mh_timer_start(g->k, INPUTS_READ_US, on_fed, q);
 	g->ops.send(g->ops.arg, t);
 }
 
@@ -431,10 +433,10 @@
 
 /* The endpoint states that it did not run the request: another one may. */
 static void
-retry_not_run(struct mh_gate *g, struct mh_gask *q, const struct mh_gans *a)
+retry_not_run(struct mh_gate *g, struct mh_greq *q, const struct mh_gresp *a)
 {
 	close_try(g, q, false);
-	if (a->inputs_gone && may_start_job(q)) {
+	if (a->inputs_lost && may_start_job(q)) {
 		mh_count(g->k, "inputs_gone", 1);
 		release_job(g, q);
 		mh_gate_start_job(g, q);
@@ -453,23 +455,23 @@
  * adapter needs a reader for them, so one is created here.
  */
 static enum mh_verdict
-forward_head(struct mh_gate *g, struct mh_gask *q, const struct mh_gans *a)
+forward_head(struct mh_gate *g, struct mh_greq *q, const struct mh_gresp *a)
 {
 	if (a->events && q->cursor == NULL)
 		q->cursor = mh_cursor_create(NULL, false);
-	q->passed_head = a->events;
+	q->head_forwarded = a->events;
 	if (a->events)
 		mh_gate_read_events(g, q->cur);
-	return MH_PASS;
+	return MH_FORWARD;
 }
 
 static enum mh_verdict
-failed_answer(struct mh_gate *g, struct mh_gask *q, const struct mh_gans *a)
+failed_answer(struct mh_gate *g, struct mh_greq *q, const struct mh_gresp *a)
 {
 	bool retry = take_retry(g, q);
 
 	/* Without a retry, the caller gets the endpoint's own error. */
-	if (!retry && a->genuine && !q->passed_head)
+	if (!retry && a->genuine && !q->head_forwarded)
 		return forward_head(g, q, a);
 	close_try(g, q, false);
 	if (retry)
@@ -489,26 +491,26 @@
 }
 
 enum mh_verdict
-mh_gate_head(struct mh_gate *g, struct mh_try *t, const struct mh_gans *a)
+mh_gate_head(struct mh_gate *g, struct mh_try *t, const struct mh_gresp *a)
 {
-	struct mh_gask *q = t->ask;
+	struct mh_greq *q = t->req;
 	struct mh_node *n = mh_fleet_find(g->f, t->node);
 	int64_t took = mh_now(g->k) - t->sent_us;
 	bool continues;
 
-	if (n != NULL && a->told)
+	if (n != NULL && a->has_load)
 		mh_node_told(g->f, n, a->running, a->waiting, a->slots);
 	if (n != NULL && a->pace_percent > 0)
 		mh_node_paced(g->f, n, a->pace_percent);
-	if (n != NULL && a->told_warm)
+	if (n != NULL && a->has_warm)
 		mh_node_warm(g->f, n, a->warm_us);
-	if (!a->moved)
+	if (!a->addr_reused)
 		note_alive(g, t, n);
 	mh_event(g->k, "head",
 	    "id=%s node=%s status=%u not_run=%d genuine=%d took_ms=%" PRId64,
 	    q->id, t->node, a->status, a->not_run, a->genuine, mh_ms(took));
 	if (a->not_run) {
-		if (n != NULL && a->moved)
+		if (n != NULL && a->addr_reused)
 			n->out_until_us = mh_now(g->k) + MH_US_PER_S;
 		retry_not_run(g, q, a);
 		return MH_DROP;
@@ -516,25 +518,25 @@
 	count_run(q, t);
 	t->head_us = mh_now(g->k);
 	/* Only events can continue a stream; anything else would end it. */
-	continues = !q->passed_head || a->events;
+	continues = !q->head_forwarded || a->events;
 	if (n != NULL && a->genuine && a->status < 500 && continues)
 		mh_node_good(g->f, n, took);
 	else if (n != NULL)
 		mh_node_bad(g->f, n, a->genuine ? "status" : "not-genuine");
 	if (a->genuine && a->status >= 500) /* failed, but did not crash */
-		mh_poison_ran(g->k, q->print, q->pool);
+		mh_poison_ran(g->k, q->fingerprint, q->pool);
 	if (!a->genuine || a->status >= 500 || !continues)
 		return failed_answer(g, q, a);
 	q->last_data_us = mh_now(g->k);
-	if (!q->passed_head)
+	if (!q->head_forwarded)
 		return forward_head(g, q, a);
 	mh_gate_read_events(g, t);
-	return MH_PASS_ON;
+	return MH_FORWARD_BODY;
 }
 
 /* Streams: to the first event; others: to the whole answer. */
 static void
-meter_answer(struct mh_gate *g, struct mh_gask *q)
+meter_answer(struct mh_gate *g, struct mh_greq *q)
 {
 	if (!q->metered)
 		mh_observe(g->k,
@@ -546,7 +548,7 @@
 void
 mh_gate_progress(struct mh_gate *g, struct mh_try *t)
 {
-	struct mh_gask *q = t->ask;
+	struct mh_greq *q = t->req;
 	struct mh_node *n = mh_fleet_find(g->f, t->node);
 
 	q->last_data_us = mh_now(g->k);
@@ -570,7 +572,7 @@
 static void
 note_break(struct mh_gate *g, const struct mh_try *t, const struct mh_node *n)
 {
-	struct mh_poison_end e = { t->node, t->ask->pool, t->ask->print,
+	struct mh_poison_end e = { t->node, t->req->pool, t->req->fingerprint,
 		t->sent_us,
 		t->head_us != 0 &&
 		    mh_now(g->k) - t->head_us > MH_POISON_FRESH_US };
@@ -580,14 +582,14 @@
 }
 
 void
-mh_gate_end(struct mh_gate *g, struct mh_try *t, enum mh_hcall_end end)
+mh_gate_try_end(struct mh_gate *g, struct mh_try *t, enum mh_hcall_end end)
 {
-	struct mh_gask *q = t->ask;
+	struct mh_greq *q = t->req;
 	struct mh_node *n = mh_fleet_find(g->f, t->node);
 
 	if (end == MH_CALL_WHOLE) {
 		meter_answer(g, q);
-		mh_poison_ran(g->k, q->print, q->pool);
+		mh_poison_ran(g->k, q->fingerprint, q->pool);
 		mh_gate_note_run(g, q);
 		mh_gate_log_end(g, q, "answered", 0);
 		mh_count(g->k, "answered", 1);
@@ -601,8 +603,9 @@
 	    " print=%016" PRIx64 " after=%s held=%zu",
 	    q->id, t->node, end != MH_CALL_UNSENT,
 	    mh_ms(mh_now(g->k) - t->sent_us),
-	    t->head_us == 0 ? -1 : mh_ms(mh_now(g->k) - t->head_us), q->print,
-	    mh_gate_stream_after(q), mh_gate_stream_buffered(q));
+	    t->head_us == 0 ? -1 : mh_ms(mh_now(g->k) - t->head_us),
+	    q->fingerprint, mh_gate_stream_after(q),
+	    mh_gate_stream_buffered(q));
 	/*
 	 * Only an endpoint that can't be reached is reported to other entries.
 	 * Sound endpoints lose answers on the way too; reporting those would
@@ -626,9 +629,9 @@
 }
 
 void
-mh_gate_spoiled(struct mh_gate *g, struct mh_try *t, const char *why)
+mh_gate_invalid_answer(struct mh_gate *g, struct mh_try *t, const char *why)
 {
-	struct mh_gask *q = t->ask;
+	struct mh_greq *q = t->req;
 	struct mh_node *n = mh_fleet_find(g->f, t->node);
 
 	mh_event(g->k, "spoiled", "id=%s node=%s why=%s after=%s held=%zu",
@@ -664,14 +667,15 @@
 }
 
 void
-mh_gate_on_unknown(struct mh_gate *g, int64_t (*stale_us)(void *arg), void *arg)
+mh_gate_on_stale_conf(
+    struct mh_gate *g, int64_t (*stale_us)(void *arg), void *arg)
 {
 	g->stale_us = stale_us;
 	g->stale_arg = arg;
 }
 
 void
-mh_gate_conf_most(struct mh_gate *g, int64_t max_us)
+mh_gate_max_stale_conf(struct mh_gate *g, int64_t max_us)
 {
 	g->max_stale_us = max_us;
 }
--- a/lib/gate.h
+++ b/lib/gate.h
@@ -328,8 +328,8 @@
 void mh_budget_set(struct mh_budget *b, const struct mh_budget_args *a);
 /** mh_budget_entries() - the slack is divided among @n processes. */
 void mh_budget_entries(struct mh_budget *b, uint32_t n);
-/** mh_budget_first() - counts a request that is no retry. */
-void mh_budget_first(struct mh_budget *b, const char *pool);
+/** mh_budget_request() - counts a request that is no retry. */
+void mh_budget_request(struct mh_budget *b, const char *pool);
 /** mh_budget_take() - whether a retry is allowed; counts it if so. */
 bool mh_budget_take(struct mh_budget *b, const char *pool);
 
@@ -576,14 +576,14 @@
 	MH_TOO_BUSY, /* not run: retry later */
 	MH_NO_ENDPOINT, /* not run: none could be reached */
 	MH_NOT_IN_TIME, /* not run: it expired before it was sent */
-	MH_HELD, /* not run: quarantined as a poison request */
-	MH_RUN_HELD, /* sent, then quarantined as a poison request */
+	MH_QUARANTINED, /* not run: quarantined as a poison request */
+	MH_RUN_QUARANTINED, /* sent, then quarantined as a poison request */
 	MH_RUN_FAILED, /* sent, no complete answer arrived */
 	MH_RUN_TIMEOUT /* sent, expired before the answer was complete */
 };
 
-/** struct mh_gask - one request, as the adapter decoded it. */
-struct mh_gask {
+/** struct mh_greq - one request, as the adapter decoded it. */
+struct mh_greq {
 	char *id;
 	char *host;
 	const char *target; /* owned by the adapter */
@@ -597,8 +597,8 @@
 	uint32_t n_pieces;
 	char *piece_key;
 	char *resume_after; /* last event id that the caller has, or NULL */
-	uint64_t print; /* the same for every request with this content */
-	void *wire;
+	uint64_t fingerprint; /* the same for every request with this content */
+	void *adapter_data;
 	/* set and used by the gateway */
 	struct mh_gate *gate;
 	enum mh_greq_state state;
@@ -607,11 +607,11 @@
 	struct mh_gorg *org;
 	const char *pool;
 	int64_t arrived_us;
-	int64_t first_us; /* estimate: when the caller first tried */
-	int64_t aim_us; /* absolute latency objective */
-	int64_t until_us; /* absolute: the caller's or the route's limit */
+	int64_t first_attempt_us; /* estimate: when the caller first tried */
+	int64_t slo_by_us; /* absolute latency objective */
+	int64_t expires_us; /* absolute: the caller's or the route's limit */
 	/* absolute: the caller leaves if no answer has begun by then */
-	int64_t first_by_us;
+	int64_t answer_by_us;
 	uint32_t priority;
 	bool returned; /* the caller was refused before and came back */
 	struct mh_job *job;
@@ -620,67 +620,67 @@
 	char *tried[MH_TRIED];
 	uint32_t n_tried;
 	uint32_t runs; /* endpoints that may have run it */
-	uint32_t jobs; /* times its stage work was submitted */
-	bool passed_head; /* the caller has the head of an event stream */
+	uint32_t n_jobs; /* times its stage work was submitted */
+	bool head_forwarded; /* the caller has the head of an event stream */
 	bool metered; /* its time to the answer was observed */
 	struct mh_cursor *cursor; /* position in its stream; NULL: no stream */
 	int64_t last_data_us;
-	struct mh_timer *until; /* at mh_gate_limit_us() */
-	struct mh_timer *patience; /* endpoint is silent for too long */
-	struct mh_timer *fed; /* the engine has read the inputs */
-	struct mh_timer *turn; /* time slot of a cold endpoint begins */
-	char *turn_at; /* id of that endpoint */
+	struct mh_timer *expiry_timer; /* at mh_gate_limit_us() */
+	struct mh_timer *silence_timer; /* endpoint is silent for too long */
+	struct mh_timer *inputs_timer; /* the engine has read the inputs */
+	struct mh_timer *slot_timer; /* time slot of a cold endpoint begins */
+	char *slot_node; /* id of that endpoint */
 };
 
 /** struct mh_try - one attempt to send a request to an endpoint. */
 struct mh_try {
-	struct mh_gask *ask;
+	struct mh_greq *req;
 	char *node; /* id of the endpoint's incarnation */
 	char *name; /* the endpoint's own name, same after a restart */
 	char *addr;
 	int64_t sent_us;
 	int64_t head_us; /* when its answer began; 0: not yet */
-	int64_t left_us; /* as sent to the endpoint */
+	int64_t remaining_us; /* as sent to the endpoint */
 	char *resume_after; /* id of the last event the caller has, or NULL */
-	bool fresh; /* reuses no idle connection */
+	bool new_conn; /* reuses no idle connection */
 	bool counted; /* included in the runs of its request */
 	struct mh_sse *events; /* NULL: no stream, or not begun */
 	void *call; /* the adapter's own data */
 };
 
-/** struct mh_gans - the decoded head of an endpoint's answer. */
-struct mh_gans {
+/** struct mh_gresp - the decoded head of an endpoint's answer. */
+struct mh_gresp {
 	uint32_t status;
 	bool not_run; /* the endpoint states that it did not run the request */
-	bool moved; /* the address belongs to another endpoint now */
-	bool inputs_gone; /* results that the request needs are lost */
+	bool addr_reused; /* the address belongs to another endpoint now */
+	bool inputs_lost; /* results that the request needs are lost */
 	bool genuine; /* signed, and the body has no content encoding */
 	bool events; /* the body is a stream of events */
-	bool told; /* running, waiting and slots are given */
+	bool has_load; /* running, waiting and slots are given */
 	uint32_t running;
 	uint32_t waiting;
 	uint32_t slots;
 	/* duration of work there, percent of the usual; 0: not given */
 	uint32_t pace_percent;
-	bool told_warm; /* warm_us is given */
+	bool has_warm; /* warm_us is given */
 	int64_t warm_us; /* the endpoint stays cold for this long */
 };
 
 /** enum mh_verdict - what the adapter does with an answer. */
 enum mh_verdict {
-	MH_PASS, /* forward head and body to the caller */
-	MH_PASS_ON, /* forward the body: it continues an earlier answer */
+	MH_FORWARD, /* forward head and body to the caller */
+	MH_FORWARD_BODY, /* forward the body: it continues an earlier answer */
 	MH_DROP /* abort the call: the gateway proceeds without it */
 };
 
 struct mh_gate_ops {
 	void (*send)(void *arg, struct mh_try *t);
 	void (*abort)(void *arg, struct mh_try *t);
-	void (*refuse)(void *arg, struct mh_gask *q, enum mh_gate_refusal why,
+	void (*refuse)(void *arg, struct mh_greq *q, enum mh_gate_refusal why,
 	    int64_t retry_us);
-	void (*finish)(void *arg, struct mh_gask *q); /* a complete answer */
+	void (*finish)(void *arg, struct mh_greq *q); /* a complete answer */
 	/* ends an incomplete answer so that the caller can tell */
-	void (*break_off)(void *arg, struct mh_gask *q);
+	void (*break_off)(void *arg, struct mh_greq *q);
 	void *arg; /* of the above */
 	void (*submit)(void *jobs, struct mh_job *j);
 	void (*cancel)(void *jobs, struct mh_job *j);
@@ -695,57 +695,61 @@
 void mh_gate_destroy(struct mh_gate *g);
 void mh_gate_conf(struct mh_gate *g, struct mh_gconf *conf);
 /**
- * mh_gate_on_unknown() - sets the query for the age of a stale configuration.
+ * mh_gate_on_stale_conf() - sets the query for the age of a stale
+ * configuration.
  * @stale_us: how long a newer one has been known to exist without having been
  * received; 0: ours is the newest
  *
  * While ours is stale, a route or key that it lacks may be in the newer one:
  * such requests get MH_NOT_READY instead of a permanent refusal.
  */
-void mh_gate_on_unknown(
+void mh_gate_on_stale_conf(
     struct mh_gate *g, int64_t (*stale_us)(void *arg), void *arg);
 /**
- * mh_gate_conf_most() - once the configuration has been stale for @max_us,
+ * mh_gate_max_stale_conf() - once the configuration has been stale for @max_us,
  * all requests are refused; 0: never.
  */
-void mh_gate_conf_most(struct mh_gate *g, int64_t max_us);
-struct mh_gask *mh_gask_create(const char *id);
-void mh_gask_destroy(struct mh_gask *q);
+void mh_gate_max_stale_conf(struct mh_gate *g, int64_t max_us);
+struct mh_greq *mh_greq_create(const char *id);
+void mh_greq_destroy(struct mh_greq *q);
 /**
- * mh_gate_take() - handles a request that has arrived.
+ * mh_gate_admit() - handles a request that has arrived.
  *
- * It ends with one call of refuse, finish or break_off, unless mh_gate_gone()
- * is called before.  @q stays the adapter's, to destroy after that.
+ * It ends with one call of refuse, finish or break_off, unless
+ * mh_gate_caller_left() is called before.  @q stays the adapter's, to destroy
+ * after that.
  */
-void mh_gate_take(struct mh_gate *g, struct mh_gask *q);
-/** mh_gate_gone() - its caller has disconnected; ends the request. */
-void mh_gate_gone(struct mh_gate *g, struct mh_gask *q);
+void mh_gate_admit(struct mh_gate *g, struct mh_greq *q);
+/** mh_gate_caller_left() - its caller has disconnected; ends the request. */
+void mh_gate_caller_left(struct mh_gate *g, struct mh_greq *q);
 void mh_gate_job_end(
     struct mh_gate *g, struct mh_job *j, enum mh_job_end end, int64_t retry_us);
 enum mh_verdict mh_gate_head(
-    struct mh_gate *g, struct mh_try *t, const struct mh_gans *a);
+    struct mh_gate *g, struct mh_try *t, const struct mh_gresp *a);
 /** mh_gate_progress() - a part of the answer has arrived. */
 void mh_gate_progress(struct mh_gate *g, struct mh_try *t);
-/** mh_gate_end() - the call of a try has ended. */
-void mh_gate_end(struct mh_gate *g, struct mh_try *t, enum mh_hcall_end end);
-/** mh_gate_spoiled() - the answer can't be forwarded; aborts the try. */
-void mh_gate_spoiled(struct mh_gate *g, struct mh_try *t, const char *why);
+/** mh_gate_try_end() - the call of a try has ended. */
+void mh_gate_try_end(
+    struct mh_gate *g, struct mh_try *t, enum mh_hcall_end end);
+/** mh_gate_invalid_answer() - the answer can't be forwarded; aborts the try. */
+void mh_gate_invalid_answer(
+    struct mh_gate *g, struct mh_try *t, const char *why);
 /** mh_gate_open() - number of requests that have not ended. */
 uint32_t mh_gate_open(const struct mh_gate *g);
 /** mh_gate_open_at() - a try sent to @endpoint before @us is still open. */
 bool mh_gate_open_at(const struct mh_gate *g, const char *endpoint, int64_t us);
-/** mh_gate_held() - ends open requests of a quarantined fingerprint. */
-void mh_gate_held(struct mh_gate *g, uint64_t fingerprint);
+/** mh_gate_quarantine() - ends open requests of a quarantined fingerprint. */
+void mh_gate_quarantine(struct mh_gate *g, uint64_t fingerprint);
 /** mh_gate_refusal_name() - the name used in logs, counters and answers. */
 const char *mh_gate_refusal_name(enum mh_gate_refusal why);
 /** mh_gate_entries() - @n processes share the connections of an endpoint. */
 void mh_gate_entries(struct mh_gate *g, uint32_t n);
 /**
- * mh_gate_leaving() - drains: this process exits in @remaining_us.
+ * mh_gate_drain() - drains: this process exits in @remaining_us.
  *
  * No request is open by then: what was accepted has been answered, broken off
  * or refused.  New requests are accepted only if they should end in time.
  */
-void mh_gate_leaving(struct mh_gate *g, int64_t remaining_us);
+void mh_gate_drain(struct mh_gate *g, int64_t remaining_us);
 
 #endif
--- a/lib/gatetake.c
+++ b/lib/gateadmit.c
@@ -34,7 +34,7 @@
 }
 
 static bool
-find_org(struct mh_gate *g, struct mh_gask *q)
+find_org(struct mh_gate *g, struct mh_greq *q)
 {
 	if (g_hash_table_size(g->conf->keys) == 0)
 		return true;
@@ -49,7 +49,7 @@
  * the usual deadline is used up.
  */
 static void
-set_times(struct mh_gate *g, struct mh_gask *q)
+set_times(struct mh_gate *g, struct mh_greq *q)
 {
 	int64_t *longest =
 	    g_hash_table_lookup(g->max_deadlines, q->route->name);
@@ -64,17 +64,17 @@
 	}
 	*longest = MAX(*longest, given);
 	q->returned = (double)given < RETURNED_RATIO * (double)*longest;
-	q->first_us = now;
+	q->first_attempt_us = now;
 	if (q->returned)
-		q->first_us -=
+		q->first_attempt_us -=
 		    (int64_t)(MEAN_DEADLINE_RATIO * (double)*longest) - given;
-	q->aim_us = q->first_us + q->route->aim_us;
-	q->until_us = now + MIN(given, q->route->timeout_us);
-	q->first_by_us = q->until_us;
+	q->slo_by_us = q->first_attempt_us + q->route->aim_us;
+	q->expires_us = now + MIN(given, q->route->timeout_us);
+	q->answer_by_us = q->expires_us;
 	if (q->route->stream) {
 		/* After this time the caller has left. */
-		q->first_by_us =
-		    MIN(q->until_us, now + mh_gate_client_timeout_us(q->route));
+		q->answer_by_us = MIN(
+		    q->expires_us, now + mh_gate_client_timeout_us(q->route));
 	}
 }
 
@@ -85,7 +85,7 @@
 }
 
 static void
-refuse_unknown(struct mh_gate *g, struct mh_gask *q, enum mh_gate_refusal why)
+refuse_unknown(struct mh_gate *g, struct mh_greq *q, enum mh_gate_refusal why)
 {
 	mh_gate_refuse(g, q, stale_us(g) > 0 ? MH_NOT_READY : why, 0);
 }
@@ -109,12 +109,12 @@
 }
 
 void
-mh_gate_take(struct mh_gate *g, struct mh_gask *q)
+mh_gate_admit(struct mh_gate *g, struct mh_greq *q)
 {
 	q->gate = g;
 	q->arrived_us = mh_now(g->k);
-	q->until_us = q->arrived_us;
-	q->aim_us = q->arrived_us;
+	q->expires_us = q->arrived_us;
+	q->slo_by_us = q->arrived_us;
 	g_hash_table_add(g->requests, q);
 	if (g->conf == NULL || conf_is_overdue(g)) {
 		mh_gate_refuse(g, q, MH_NOT_READY, 0);
@@ -151,8 +151,9 @@
 	    " returned=%d aim_ms=%" PRId64 " open=%u print=%016" PRIx64,
 	    q->id, q->route->name, q->org != NULL ? q->org->name : "-",
 	    q->conf->version, q->pool, mh_ms(q->deadline_us), q->returned,
-	    mh_ms(q->aim_us - q->arrived_us), mh_gate_open(g), q->print);
-	mh_budget_first(g->budget, q->pool);
+	    mh_ms(q->slo_by_us - q->arrived_us), mh_gate_open(g),
+	    q->fingerprint);
+	mh_budget_request(g->budget, q->pool);
 	if (q->route->stream)
 		q->cursor = mh_cursor_create(
 		    q->route->repeat == MH_REPEAT_RESUME ? q->resume_after
@@ -165,7 +166,7 @@
 }
 
 void
-mh_gate_gone(struct mh_gate *g, struct mh_gask *q)
+mh_gate_caller_left(struct mh_gate *g, struct mh_greq *q)
 {
 	if (q->state == MH_GREQ_ENDED)
 		return;
--- a/lib/gateint.h
+++ b/lib/gateint.h
@@ -28,7 +28,7 @@
 	bool overdue; /* the excess was logged */
 	char *domain;
 	uint32_t entries; /* processes like this one, itself included */
-	GHashTable *requests; /* set of struct mh_gask */
+	GHashTable *requests; /* set of struct mh_greq */
 	int64_t exit_us; /* when this process exits; 0: not draining */
 	int64_t streams_by_us; /* later streams are refused while draining */
 	GHashTable *max_deadlines; /* route -> longest one given, int64_t us */
@@ -40,19 +40,19 @@
  * mh_gate_try_next() - sends it to the next endpoint, waits for a time slot of
  * a cold one, restarts its stage work, or ends it.
  */
-void mh_gate_try_next(struct mh_gate *g, struct mh_gask *q);
+void mh_gate_try_next(struct mh_gate *g, struct mh_greq *q);
 /** mh_gate_refuse() - ends it with an answer of the gateway's own. */
-void mh_gate_refuse(struct mh_gate *g, struct mh_gask *q,
+void mh_gate_refuse(struct mh_gate *g, struct mh_greq *q,
     enum mh_gate_refusal why, int64_t retry_us);
 /** mh_gate_refuse_quarantined() - refuses it if quarantined; true if so. */
-bool mh_gate_refuse_quarantined(struct mh_gate *g, struct mh_gask *q);
+bool mh_gate_refuse_quarantined(struct mh_gate *g, struct mh_greq *q);
 /** mh_gate_close() - ends its try and its job and removes it. */
-void mh_gate_close(struct mh_gate *g, struct mh_gask *q, bool abort);
+void mh_gate_close(struct mh_gate *g, struct mh_greq *q, bool abort);
 /** mh_gate_fill_place() - fills in what placement needs of it. */
 void mh_gate_fill_place(
-    struct mh_gate *g, const struct mh_gask *q, struct mh_place_ask *a);
+    struct mh_gate *g, const struct mh_greq *q, struct mh_place_ask *a);
 /** mh_gate_log_end() - logs its outcome. */
-void mh_gate_log_end(struct mh_gate *g, const struct mh_gask *q,
+void mh_gate_log_end(struct mh_gate *g, const struct mh_greq *q,
     const char *outcome, int64_t retry_us);
 /**
  * mh_gate_limit_us() - the absolute time at which it is given up on.
@@ -60,32 +60,32 @@
  * That is its caller's or the route's limit.  While this process drains, it is
  * no later than the last moment at which it can still be answered here.
  */
-int64_t mh_gate_limit_us(const struct mh_gate *g, const struct mh_gask *q);
+int64_t mh_gate_limit_us(const struct mh_gate *g, const struct mh_greq *q);
 /** mh_gate_log_cut() - logs a request that is open when the gateway ends. */
-void mh_gate_log_cut(struct mh_gate *g, const struct mh_gask *q);
+void mh_gate_log_cut(struct mh_gate *g, const struct mh_greq *q);
 /** mh_gate_stream_after() - id of the last event the caller has, or "-". */
-const char *mh_gate_stream_after(const struct mh_gask *q);
+const char *mh_gate_stream_after(const struct mh_greq *q);
 /** mh_gate_stream_buffered() - buffered bytes of an incomplete event. */
-size_t mh_gate_stream_buffered(const struct mh_gask *q);
+size_t mh_gate_stream_buffered(const struct mh_greq *q);
 /** mh_gate_can_resume() - another run can continue what the caller has. */
-bool mh_gate_can_resume(const struct mh_gask *q);
+bool mh_gate_can_resume(const struct mh_greq *q);
 /** mh_gate_read_events() - reads the rest of the try's answer as a stream. */
 void mh_gate_read_events(struct mh_gate *g, struct mh_try *t);
 /** mh_gate_note_ids() - records how @n numbers events; @n may be NULL. */
 void mh_gate_note_ids(struct mh_node *n, const struct mh_try *t);
 /** mh_gate_set_limit() - restarts the expiry timer by mh_gate_limit_us(). */
-void mh_gate_set_limit(struct mh_gate *g, struct mh_gask *q);
+void mh_gate_set_limit(struct mh_gate *g, struct mh_greq *q);
 /** mh_gate_out_of_time() - refuses it, by whether it may have run. */
-void mh_gate_out_of_time(struct mh_gate *g, struct mh_gask *q);
+void mh_gate_out_of_time(struct mh_gate *g, struct mh_greq *q);
 /** mh_gate_ends_in_time() - a new request should end before the process. */
-bool mh_gate_ends_in_time(const struct mh_gate *g, const struct mh_gask *q);
+bool mh_gate_ends_in_time(const struct mh_gate *g, const struct mh_greq *q);
 /** mh_gate_note_run() - records how long a complete answer took. */
-void mh_gate_note_run(struct mh_gate *g, const struct mh_gask *q);
+void mh_gate_note_run(struct mh_gate *g, const struct mh_greq *q);
 /**
  * mh_gate_client_timeout_us() - how long callers of a stream wait for an event.
  */
 int64_t mh_gate_client_timeout_us(const struct mh_groute *r);
 /** mh_gate_start_job() - submits the stage work of a request. */
-void mh_gate_start_job(struct mh_gate *g, struct mh_gask *q);
+void mh_gate_start_job(struct mh_gate *g, struct mh_greq *q);
 
 #endif
--- a/lib/gatejob.c
+++ b/lib/gatejob.c
@@ -20,7 +20,7 @@
  * a part in proportion to its weighted tokens.
  */
 static double
-job_weight(struct mh_gate *g, const struct mh_gask *q)
+job_weight(struct mh_gate *g, const struct mh_greq *q)
 {
 	double size = q->tokens_in + OUT_TOKEN_WEIGHT * (double)q->tokens_out;
 	double *mean = g_hash_table_lookup(g->sizes, q->route->name);
@@ -42,24 +42,24 @@
  * none arrives within the client timeout.
  */
 static void
-set_times(struct mh_gate *g, const struct mh_gask *q, struct mh_job *j)
+set_times(struct mh_gate *g, const struct mh_greq *q, struct mh_job *j)
 {
 	int64_t engine_us =
 	    ENGINE_US + (int64_t)q->tokens_in * ENGINE_US_PER_TOKEN;
 	int64_t leaves_us =
 	    q->last_data_us + mh_gate_client_timeout_us(q->route);
 
-	if (q->passed_head) {
+	if (q->head_forwarded) {
 		j->aim_us = mh_now(g->k) + q->route->gap_aim_us;
-		j->deadline_us = MIN(q->until_us, leaves_us) - engine_us;
+		j->deadline_us = MIN(q->expires_us, leaves_us) - engine_us;
 	} else {
-		j->aim_us = q->aim_us - engine_us;
-		j->deadline_us = q->first_by_us - engine_us;
+		j->aim_us = q->slo_by_us - engine_us;
+		j->deadline_us = q->answer_by_us - engine_us;
 	}
 }
 
 void
-mh_gate_start_job(struct mh_gate *g, struct mh_gask *q)
+mh_gate_start_job(struct mh_gate *g, struct mh_greq *q)
 {
 	struct mh_job *j = mh_job_create(q->id);
 	const struct mh_groute *r = q->route;
@@ -72,7 +72,7 @@
 		j->domain = g_strdup(cached->domain);
 	j->key = g_strdup(q->piece_key);
 	j->route = g_strdup(r->name);
-	j->print = q->print;
+	j->print = q->fingerprint;
 	j->priority = q->priority;
 	j->returned = q->returned;
 	j->weight = job_weight(g, q);
@@ -87,7 +87,7 @@
 	}
 	j->owner = q;
 	q->job = j;
-	q->jobs++;
+	q->n_jobs++;
 	q->state = MH_GREQ_STAGES;
 	mh_gate_set_limit(g, q);
 	g->ops.submit(g->ops.jobs, j);
@@ -95,12 +95,12 @@
 
 /* Refuses a request whose stage work will not be done. */
 static void
-give_up(struct mh_gate *g, struct mh_gask *q, enum mh_gate_refusal why,
+give_up(struct mh_gate *g, struct mh_greq *q, enum mh_gate_refusal why,
     int64_t retry_us)
 {
 	if (q->runs > 0) /* an endpoint had it before its inputs were lost */
 		mh_gate_refuse(g, q, MH_RUN_FAILED, 0);
-	else if (mh_gate_limit_us(g, q) < q->first_by_us)
+	else if (mh_gate_limit_us(g, q) < q->answer_by_us)
 		mh_gate_refuse(g, q, MH_NOT_READY, 0); /* exits too soon */
 	else
 		mh_gate_refuse(g, q, why, retry_us);
@@ -110,7 +110,7 @@
 mh_gate_job_end(
     struct mh_gate *g, struct mh_job *j, enum mh_job_end end, int64_t retry_us)
 {
-	struct mh_gask *q = j->owner;
+	struct mh_greq *q = j->owner;
 
 	switch (end) {
 	case MH_JOB_DONE:
@@ -128,8 +128,9 @@
 	case MH_JOB_HELD:
 		q->job = NULL;
 		mh_job_destroy(j);
-		mh_gate_refuse(g, q, q->runs > 0 ? MH_RUN_HELD : MH_HELD,
-		    MAX(retry_us, mh_poison_held_us(g->k, q->print)));
+		mh_gate_refuse(g, q,
+		    q->runs > 0 ? MH_RUN_QUARANTINED : MH_QUARANTINED,
+		    MAX(retry_us, mh_poison_held_us(g->k, q->fingerprint)));
 		return;
 	case MH_JOB_FAILED:
 	case MH_JOB_MOVED:
--- a/lib/gatelimit.c
+++ b/lib/gatelimit.c
@@ -21,11 +21,11 @@
 #define STREAMS_RATIO 0.3
 
 void
-mh_gate_out_of_time(struct mh_gate *g, struct mh_gask *q)
+mh_gate_out_of_time(struct mh_gate *g, struct mh_greq *q)
 {
 	if (q->runs > 0 || q->cur != NULL)
 		mh_gate_refuse(g, q, MH_RUN_TIMEOUT, 0);
-	else if (mh_gate_limit_us(g, q) < q->until_us)
+	else if (mh_gate_limit_us(g, q) < q->expires_us)
 		mh_gate_refuse(g, q, MH_NOT_READY, 0); /* draining */
 	else
 		mh_gate_refuse(g, q, MH_NOT_IN_TIME, 0);
@@ -34,10 +34,10 @@
 static void
 on_expiry(void *arg)
 {
-	struct mh_gask *q = arg;
+	struct mh_greq *q = arg;
 	struct mh_gate *g = q->gate;
 
-	q->until = NULL;
+	q->expiry_timer = NULL;
 	mh_gate_out_of_time(g, q);
 }
 
@@ -66,7 +66,7 @@
 }
 
 void
-mh_gate_note_run(struct mh_gate *g, const struct mh_gask *q)
+mh_gate_note_run(struct mh_gate *g, const struct mh_greq *q)
 {
 	struct mh_grun_times *all =
 	    g_hash_table_lookup(g->runs, q->route->name);
@@ -87,27 +87,27 @@
  * completed before the exit, while another entry can still serve its caller.
  */
 int64_t
-mh_gate_limit_us(const struct mh_gate *g, const struct mh_gask *q)
+mh_gate_limit_us(const struct mh_gate *g, const struct mh_greq *q)
 {
 	int64_t us = g->exit_us;
 
 	if (us == 0)
-		return q->until_us;
+		return q->expires_us;
 	if (q->state == MH_GREQ_STAGES)
 		us -= expected_run_us(g, q->route);
-	return MIN(us, q->until_us);
+	return MIN(us, q->expires_us);
 }
 
 void
-mh_gate_set_limit(struct mh_gate *g, struct mh_gask *q)
+mh_gate_set_limit(struct mh_gate *g, struct mh_greq *q)
 {
 	int64_t limit_us = mh_gate_limit_us(g, q);
 
 	/* The coordinator, and the next one after a handoff, plans by this. */
 	if (q->state == MH_GREQ_STAGES && q->job != NULL)
 		q->job->deadline_us = MIN(q->job->deadline_us, limit_us);
-	mh_timer_stop(g->k, &q->until);
-	q->until =
+	mh_timer_stop(g->k, &q->expiry_timer);
+	q->expiry_timer =
 	    mh_timer_start(g->k, MAX(limit_us - mh_now(g->k), 0), on_expiry, q);
 }
 
@@ -118,17 +118,17 @@
  * way, but takes a refused one to another entry at once.
  */
 bool
-mh_gate_ends_in_time(const struct mh_gate *g, const struct mh_gask *q)
+mh_gate_ends_in_time(const struct mh_gate *g, const struct mh_greq *q)
 {
 	if (g->exit_us == 0)
 		return true;
 	if (q->route->stream)
 		return mh_now(g->k) < g->streams_by_us;
-	return q->until_us < g->exit_us;
+	return q->expires_us < g->exit_us;
 }
 
 void
-mh_gate_leaving(struct mh_gate *g, int64_t remaining_us)
+mh_gate_drain(struct mh_gate *g, int64_t remaining_us)
 {
 	GHashTableIter it;
 	gpointer key;
--- a/lib/gatelog.c
+++ b/lib/gatelog.c
@@ -5,7 +5,7 @@
 #include "gateint.h"
 
 const char *
-mh_gate_stream_after(const struct mh_gask *q)
+mh_gate_stream_after(const struct mh_greq *q)
 {
 	const char *id =
 	    q->cursor == NULL ? NULL : mh_cursor_last_id(q->cursor);
@@ -14,7 +14,7 @@
 }
 
 size_t
-mh_gate_stream_buffered(const struct mh_gask *q)
+mh_gate_stream_buffered(const struct mh_greq *q)
 {
 	return q->cur == NULL || q->cur->events == NULL
 	    ? 0
@@ -31,8 +31,8 @@
 		[MH_TOO_BUSY] = "too_busy",
 		[MH_NO_ENDPOINT] = "no_endpoint",
 		[MH_NOT_IN_TIME] = "not_in_time",
-		[MH_HELD] = "held",
-		[MH_RUN_HELD] = "run_held",
+		[MH_QUARANTINED] = "held",
+		[MH_RUN_QUARANTINED] = "run_held",
 		[MH_RUN_FAILED] = "run_failed",
 		[MH_RUN_TIMEOUT] = "run_timeout" };
 
@@ -40,7 +40,7 @@
 }
 
 void
-mh_gate_log_end(struct mh_gate *g, const struct mh_gask *q, const char *outcome,
+mh_gate_log_end(struct mh_gate *g, const struct mh_greq *q, const char *outcome,
     int64_t retry_us)
 {
 	int64_t now = mh_now(g->k);
@@ -52,7 +52,7 @@
 	    q->id, q->route != NULL ? q->route->name : "-", outcome,
 	    q->org != NULL ? q->org->name : "-",
 	    q->conf != NULL ? q->conf->version : 0, mh_ms(now - q->arrived_us),
-	    mh_ms(q->aim_us - now), mh_ms(q->until_us - now), q->n_tried,
+	    mh_ms(q->slo_by_us - now), mh_ms(q->expires_us - now), q->n_tried,
 	    q->runs, q->returned,
 	    q->n_tried > 0 ? q->tried[q->n_tried - 1] : "-", mh_ms(retry_us));
 }
@@ -70,7 +70,7 @@
 
 /* The caller of this request gets no answer; logs how far it had come. */
 void
-mh_gate_log_cut(struct mh_gate *g, const struct mh_gask *q)
+mh_gate_log_cut(struct mh_gate *g, const struct mh_greq *q)
 {
 	uint32_t made = 0, stages = 0;
 
@@ -86,6 +86,6 @@
 	    " left_ms=%" PRId64 " tries=%u runs=%u node=%s",
 	    q->id, state_name(q->state), made, stages,
 	    mh_ms(mh_now(g->k) - q->arrived_us),
-	    mh_ms(q->until_us - mh_now(g->k)), q->n_tried, q->runs,
+	    mh_ms(q->expires_us - mh_now(g->k)), q->n_tried, q->runs,
 	    q->n_tried > 0 ? q->tried[q->n_tried - 1] : "-");
 }
--- a/lib/gatestream.c
+++ b/lib/gatestream.c
@@ -10,9 +10,9 @@
  * the run would start over and duplicate events.
  */
 bool
-mh_gate_can_resume(const struct mh_gask *q)
+mh_gate_can_resume(const struct mh_greq *q)
 {
-	return !q->passed_head ||
+	return !q->head_forwarded ||
 	    (q->route->repeat == MH_REPEAT_RESUME &&
 		!mh_cursor_lost(q->cursor));
 }
@@ -28,7 +28,7 @@
 	const struct mh_node *n = mh_fleet_find(g->f, t->node);
 
 	t->events =
-	    mh_sse_create(t->ask->cursor, n == NULL ? MH_IDS_UNKNOWN : n->ids);
+	    mh_sse_create(t->req->cursor, n == NULL ? MH_IDS_UNKNOWN : n->ids);
 }
 
 /* Learns from streams that begin at an endpoint how it numbers events. */
@@ -39,7 +39,7 @@
 	    t->events == NULL ? MH_IDS_UNKNOWN : mh_sse_ids(t->events);
 
 	/* Event ids of other routes follow no rule. */
-	if (!t->ask->route->stream)
+	if (!t->req->route->stream)
 		return;
 	if (n != NULL && ids != MH_IDS_UNKNOWN && n->ids != MH_IDS_COUNT)
 		n->ids = ids;
--- a/lib/poisonmesh.c
+++ b/lib/poisonmesh.c
@@ -45,7 +45,7 @@
 {
 	struct mh_poison_mesh *p = arg;
 
-	mh_gate_held(p->a.gate, print);
+	mh_gate_quarantine(p->a.gate, print);
 	if (p->a.cells != NULL)
 		mh_cells_held(p->a.cells, print);
 }
--- a/regress/fallrig.c
+++ b/regress/fallrig.c
@@ -74,7 +74,7 @@
 	struct fent *e = arg;
 	struct fallrig *r = e->r;
 	struct frun *n = g_new0(struct frun, 1);
-	uint64_t print = t->ask->print;
+	uint64_t print = t->req->fingerprint;
 
 	n->e = e;
 	n->t = t;
@@ -105,56 +105,56 @@
 }
 
 static uint32_t
-asks_of(const struct mh_gask *q)
+asks_of(const struct mh_greq *q)
 {
 	return (uint32_t)strlen(q->id);
 }
 
 static void
-forget(struct fallrig *r, struct mh_gask *q)
+forget(struct fallrig *r, struct mh_greq *q)
 {
 	g_ptr_array_remove(r->open, q);
-	mh_gask_destroy(q);
+	mh_greq_destroy(q);
 }
 
 /* Its caller asks again, or gives up. */
 static void
-failed(struct fallrig *r, struct mh_gask *q)
+failed(struct fallrig *r, struct mh_greq *q)
 {
-	struct fagain a = { now(r) + AGAIN_US, q->print, asks_of(q) + 1 };
+	struct fagain a = { now(r) + AGAIN_US, q->fingerprint, asks_of(q) + 1 };
 
-	if (!is_bad(r, q->print) && a.asks <= ASKS)
+	if (!is_bad(r, q->fingerprint) && a.asks <= ASKS)
 		g_ptr_array_add(r->again, g_memdup2(&a, sizeof(a)));
-	else if (!is_bad(r, q->print))
+	else if (!is_bad(r, q->fingerprint))
 		r->good_lost++;
 	forget(r, q);
 }
 
 static void
 op_refuse(
-    void *arg, struct mh_gask *q, enum mh_gate_refusal why, int64_t retry_us)
+    void *arg, struct mh_greq *q, enum mh_gate_refusal why, int64_t retry_us)
 {
 	struct fallrig *r = ((struct fent *)arg)->r;
-	bool held = why == MH_HELD || why == MH_RUN_HELD;
+	bool held = why == MH_QUARANTINED || why == MH_RUN_QUARANTINED;
 
 	(void)retry_us;
-	r->good_held += held && !is_bad(r, q->print);
-	r->bad_held += held && is_bad(r, q->print);
+	r->good_held += held && !is_bad(r, q->fingerprint);
+	r->bad_held += held && is_bad(r, q->fingerprint);
 	failed(r, q);
 }
 
 static void
-op_break(void *arg, struct mh_gask *q)
+op_break(void *arg, struct mh_greq *q)
 {
 	failed(((struct fent *)arg)->r, q);
 }
 
 static void
-op_finish(void *arg, struct mh_gask *q)
+op_finish(void *arg, struct mh_greq *q)
 {
 	struct fallrig *r = ((struct fent *)arg)->r;
 
-	r->good_served += !is_bad(r, q->print);
+	r->good_served += !is_bad(r, q->fingerprint);
 	forget(r, q);
 }
 
@@ -207,7 +207,7 @@
 
 	mh_gate_destroy(e->g);
 	for (guint i = 0; i < r->open->len;) {
-		struct mh_gask *q = g_ptr_array_index(r->open, i);
+		struct mh_greq *q = g_ptr_array_index(r->open, i);
 
 		if (q->gate == e->g)
 			failed(r, q);
@@ -231,7 +231,7 @@
 	g_ptr_array_remove(r->runs, n);
 	g_free(n);
 	t->call = NULL;
-	mh_gate_end(e->g, t, end);
+	mh_gate_try_end(e->g, t, end);
 }
 
 /* All that it has breaks; the order is that of the connections. */
@@ -286,7 +286,7 @@
 static bool
 advance(struct fallrig *r, struct frun *n)
 {
-	struct mh_gans a = {
+	struct mh_gresp a = {
 		.status = 200, .genuine = true, .events = !r->plain
 	};
 	int64_t age = now(r) - n->sent_us;
@@ -350,16 +350,16 @@
 	struct fent *e = &r->e[g_rand_int_range(r->rand, 0, ENTRIES)];
 	/* Each sending has an id of its own; as long as it was asked often. */
 	char id[ASKS + 1];
-	struct mh_gask *q;
+	struct mh_greq *q;
 
 	memset(id, 'x', sizeof(id));
 	id[asks] = '\0';
-	q = mh_gask_create(id);
+	q = mh_greq_create(id);
 	q->host = g_strdup("h.example");
 	q->target = r->plain ? "/once/x" : "/stream/x";
-	q->print = print;
+	q->fingerprint = print;
 	g_ptr_array_add(r->open, q);
-	mh_gate_take(e->g, q);
+	mh_gate_admit(e->g, q);
 }
 
 static void
--- a/regress/fallrig.h
+++ b/regress/fallrig.h
@@ -39,7 +39,7 @@
 	struct mh_gconf *conf;
 	GRand *rand;
 	GPtrArray *runs; /* struct frun */
-	GPtrArray *open; /* struct mh_gask */
+	GPtrArray *open; /* struct mh_greq */
 	GPtrArray *again; /* struct fagain */
 	int64_t listed_us;
 	uint64_t asked; /* prints given so far */
--- a/regress/gaterig.c
+++ b/regress/gaterig.c
@@ -7,10 +7,10 @@
 #include <string.h>
 
 void
-grig_forget(struct grig *r, struct mh_gask *q)
+grig_forget(struct grig *r, struct mh_greq *q)
 {
 	g_ptr_array_remove(r->open, q);
-	mh_gask_destroy(q);
+	mh_greq_destroy(q);
 }
 
 static void
@@ -37,7 +37,7 @@
 
 static void
 op_refuse(
-    void *arg, struct mh_gask *q, enum mh_gate_refusal why, int64_t retry_us)
+    void *arg, struct mh_greq *q, enum mh_gate_refusal why, int64_t retry_us)
 {
 	struct grig *r = arg;
 
@@ -48,14 +48,14 @@
 }
 
 static void
-op_finish(void *arg, struct mh_gask *q)
+op_finish(void *arg, struct mh_greq *q)
 {
 	((struct grig *)arg)->finished++;
 	grig_forget(arg, q);
 }
 
 static void
-op_break(void *arg, struct mh_gask *q)
+op_break(void *arg, struct mh_greq *q)
 {
 	((struct grig *)arg)->broken++;
 	grig_forget(arg, q);
@@ -153,33 +153,33 @@
 }
 
 void
-grig_pass(struct grig *r, int64_t us)
+grig_advance(struct grig *r, int64_t us)
 {
 	r->now_us += us;
 	mh_kern_advance(r->k, r->now_us, r->now_us);
 }
 
-struct mh_gask *
-grig_ask(struct grig *r, const char *target, int64_t deadline_us)
+struct mh_greq *
+grig_request(struct grig *r, const char *target, int64_t deadline_us)
 {
-	struct mh_gask *q = mh_gask_create("id");
+	struct mh_greq *q = mh_greq_create("id");
 
 	q->host = g_strdup("h.example");
 	q->target = target;
 	q->deadline_us = deadline_us;
 	g_ptr_array_add(r->open, q);
-	mh_gate_take(r->g, q);
+	mh_gate_admit(r->g, q);
 	return q;
 }
 
 void
 grig_answer(struct grig *r, uint32_t status, bool not_run, bool genuine)
 {
-	struct mh_gans a = {
+	struct mh_gresp a = {
 		.status = status, .not_run = not_run, .genuine = genuine
 	};
 	struct mh_try *t = r->cur;
 
 	if (mh_gate_head(r->g, t, &a) != MH_DROP)
-		mh_gate_end(r->g, t, MH_CALL_WHOLE);
+		mh_gate_try_end(r->g, t, MH_CALL_WHOLE);
 }
--- a/regress/gaterig.h
+++ b/regress/gaterig.h
@@ -35,14 +35,14 @@
 
 struct grig *grig_create(uint32_t nodes);
 void grig_destroy(struct grig *r);
-/** grig_pass() - advances the virtual time by @us. */
-void grig_pass(struct grig *r, int64_t us);
-/** grig_ask() - submits a request; @deadline_us 0: none given. */
-struct mh_gask *grig_ask(
+/** grig_advance() - advances the virtual time by @us. */
+void grig_advance(struct grig *r, int64_t us);
+/** grig_request() - submits a request; @deadline_us 0: none given. */
+struct mh_greq *grig_request(
     struct grig *r, const char *target, int64_t deadline_us);
 /** grig_answer() - answers the last try completely. */
 void grig_answer(struct grig *r, uint32_t status, bool not_run, bool genuine);
 /** grig_forget() - destroys a request that has ended. */
-void grig_forget(struct grig *r, struct mh_gask *q);
+void grig_forget(struct grig *r, struct mh_greq *q);
 
 #endif
--- a/regress/t_cold.c
+++ b/regress/t_cold.c
@@ -87,7 +87,7 @@
 	for (size_t i = 0; i < G_N_ELEMENTS(targets); i++) {
 		struct grig *r = grig_create(3);
 
-		(void)grig_ask(r, targets[i], 5 * S);
+		(void)grig_request(r, targets[i], 5 * S);
 		CU_ASSERT_EQUAL(r->sends, 1);
 		mh_fleet_evacuate(r->f, d);
 		/* What runs there goes on. */
@@ -96,7 +96,7 @@
 		CU_ASSERT_EQUAL(r->sends, 1);
 		CU_ASSERT_EQUAL(r->refused, 1);
 		CU_ASSERT_EQUAL(r->why, MH_NO_ENDPOINT);
-		(void)grig_ask(r, targets[i], 5 * S);
+		(void)grig_request(r, targets[i], 5 * S);
 		CU_ASSERT_EQUAL(r->sends, 1);
 		CU_ASSERT_EQUAL(r->refused, 2);
 		grig_destroy(r);
@@ -459,20 +459,20 @@
 	p->cold_per_s = 2;
 	g_hash_table_insert(r->conf->pools, p->name, p);
 	mh_node_warm(r->f, n, 10 * S);
-	(void)grig_ask(r, "/once/x", 5 * S);
-	(void)grig_ask(r, "/once/x", 5 * S);
-	(void)grig_ask(r, "/once/x", 5 * S);
-	(void)grig_ask(r, "/once/x", 5 * S);
+	(void)grig_request(r, "/once/x", 5 * S);
+	(void)grig_request(r, "/once/x", 5 * S);
+	(void)grig_request(r, "/once/x", 5 * S);
+	(void)grig_request(r, "/once/x", 5 * S);
 	CU_ASSERT_EQUAL(r->sends, 1);
 	CU_ASSERT_EQUAL(r->refused, 1); /* its turn is past its aim */
 	CU_ASSERT(r->retry_us >= S);
-	grig_pass(r, 400 * MS);
+	grig_advance(r, 400 * MS);
 	CU_ASSERT_EQUAL(r->sends, 1);
-	grig_pass(r, 200 * MS);
+	grig_advance(r, 200 * MS);
 	CU_ASSERT_EQUAL(r->sends, 2);
 	/* A caller that leaves gives its turn up. */
-	mh_gate_gone(r->g, g_ptr_array_index(r->open, 2));
-	grig_pass(r, 600 * MS);
+	mh_gate_caller_left(r->g, g_ptr_array_index(r->open, 2));
+	grig_advance(r, 600 * MS);
 	CU_ASSERT_EQUAL(r->sends, 2);
 	grig_destroy(r);
 }
--- a/regress/t_gate.c
+++ b/regress/t_gate.c
@@ -59,10 +59,10 @@
 		const struct row *row = &rows[i];
 		struct grig *r = grig_create(4);
 
-		grig_ask(r, row->target, 0);
+		grig_request(r, row->target, 0);
 		while (r->cur != NULL && r->finished + r->refused == 0) {
 			if (row->status == 0)
-				mh_gate_end(r->g, r->cur, row->end);
+				mh_gate_try_end(r->g, r->cur, row->end);
 			else
 				grig_answer(
 				    r, row->status, row->not_run, row->genuine);
@@ -93,13 +93,13 @@
 {
 	struct grig *r = grig_create(4);
 
-	grig_ask(r, "/safe/x", 0);
-	grig_pass(r, 600 * MS);
+	grig_request(r, "/safe/x", 0);
+	grig_advance(r, 600 * MS);
 	CU_ASSERT_EQUAL(r->sends, 2);
 	CU_ASSERT_EQUAL(r->aborts, 1);
-	grig_pass(r, 3 * S);
+	grig_advance(r, 3 * S);
 	CU_ASSERT_EQUAL(r->sends, 2);
-	grig_pass(r, 3 * S);
+	grig_advance(r, 3 * S);
 	CU_ASSERT_EQUAL(r->refused, 1);
 	CU_ASSERT_EQUAL(r->why, MH_RUN_TIMEOUT);
 	grig_destroy(r);
@@ -111,11 +111,11 @@
 {
 	struct grig *r = grig_create(4);
 
-	grig_ask(r, "/once/x", 800 * MS);
-	grig_pass(r, 790 * MS);
+	grig_request(r, "/once/x", 800 * MS);
+	grig_advance(r, 790 * MS);
 	CU_ASSERT_EQUAL(r->sends, 1);
 	CU_ASSERT_EQUAL(r->refused, 0);
-	grig_pass(r, 20 * MS);
+	grig_advance(r, 20 * MS);
 	CU_ASSERT_EQUAL(r->why, MH_RUN_TIMEOUT);
 	CU_ASSERT_EQUAL(r->retry_us, 0);
 	grig_destroy(r);
@@ -126,22 +126,22 @@
 test_stream_resumes(void)
 {
 	struct grig *r = grig_create(4);
-	struct mh_gans a = { .status = 200, .genuine = true, .events = true };
+	struct mh_gresp a = { .status = 200, .genuine = true, .events = true };
 	GString *out = g_string_new(NULL);
 	char first[16];
 
-	grig_ask(r, "/resume/x", 0);
+	grig_request(r, "/resume/x", 0);
 	g_strlcpy(first, r->last, sizeof(first));
-	CU_ASSERT_EQUAL(mh_gate_head(r->g, r->cur, &a), MH_PASS);
+	CU_ASSERT_EQUAL(mh_gate_head(r->g, r->cur, &a), MH_FORWARD);
 	mh_sse_feed(r->cur->events, "id: 7\ndata: x\n\nid: 8\nda", 22, out);
 	CU_ASSERT_STRING_EQUAL(out->str, "id: 7\ndata: x\n\n");
 	mh_gate_progress(r->g, r->cur);
-	mh_gate_end(r->g, r->cur, MH_CALL_BROKEN);
+	mh_gate_try_end(r->g, r->cur, MH_CALL_BROKEN);
 	CU_ASSERT_EQUAL(r->sends, 2);
 	CU_ASSERT_STRING_EQUAL(r->resume, "7");
 	CU_ASSERT_STRING_NOT_EQUAL(r->last, first);
-	CU_ASSERT_EQUAL(mh_gate_head(r->g, r->cur, &a), MH_PASS_ON);
-	mh_gate_end(r->g, r->cur, MH_CALL_WHOLE);
+	CU_ASSERT_EQUAL(mh_gate_head(r->g, r->cur, &a), MH_FORWARD_BODY);
+	mh_gate_try_end(r->g, r->cur, MH_CALL_WHOLE);
 	CU_ASSERT_EQUAL(r->finished, 1);
 	g_string_free(out, TRUE);
 	grig_destroy(r);
@@ -156,13 +156,13 @@
 test_events_on_plain_route(void)
 {
 	struct grig *r = grig_create(2);
-	struct mh_gans a = { .status = 200, .genuine = true, .events = true };
+	struct mh_gresp a = { .status = 200, .genuine = true, .events = true };
 
-	grig_ask(r, "/safe/x", 0);
-	CU_ASSERT_EQUAL(mh_gate_head(r->g, r->cur, &a), MH_PASS);
+	grig_request(r, "/safe/x", 0);
+	CU_ASSERT_EQUAL(mh_gate_head(r->g, r->cur, &a), MH_FORWARD);
 	CU_ASSERT_PTR_NOT_NULL(r->cur->events);
 	mh_gate_progress(r->g, r->cur);
-	grig_pass(r, 3 * S);
+	grig_advance(r, 3 * S);
 	CU_ASSERT_EQUAL(r->sends, 1);
 	grig_destroy(r);
 }
@@ -172,11 +172,11 @@
 test_ids_on_plain_route(void)
 {
 	struct grig *r = grig_create(1);
-	struct mh_gans a = { .status = 200, .genuine = true, .events = true };
+	struct mh_gresp a = { .status = 200, .genuine = true, .events = true };
 	GString *out = g_string_new(NULL);
 
-	grig_ask(r, "/safe/x", 0);
-	CU_ASSERT_EQUAL(mh_gate_head(r->g, r->cur, &a), MH_PASS);
+	grig_request(r, "/safe/x", 0);
+	CU_ASSERT_EQUAL(mh_gate_head(r->g, r->cur, &a), MH_FORWARD);
 	mh_sse_feed(r->cur->events, "id: 1\n\n", 7, out);
 	mh_gate_progress(r->g, r->cur);
 	CU_ASSERT_EQUAL(mh_fleet_find(r->f, r->last)->ids, MH_IDS_UNKNOWN);
@@ -189,12 +189,12 @@
 test_stream_breaks(void)
 {
 	struct grig *r = grig_create(4);
-	struct mh_gans a = { .status = 200, .genuine = true, .events = true };
+	struct mh_gresp a = { .status = 200, .genuine = true, .events = true };
 
-	grig_ask(r, "/stream/x", 0);
-	CU_ASSERT_EQUAL(mh_gate_head(r->g, r->cur, &a), MH_PASS);
+	grig_request(r, "/stream/x", 0);
+	CU_ASSERT_EQUAL(mh_gate_head(r->g, r->cur, &a), MH_FORWARD);
 	mh_gate_progress(r->g, r->cur);
-	mh_gate_end(r->g, r->cur, MH_CALL_BROKEN);
+	mh_gate_try_end(r->g, r->cur, MH_CALL_BROKEN);
 	CU_ASSERT_EQUAL(r->sends, 1);
 	CU_ASSERT_EQUAL(r->broken, 1);
 	grig_destroy(r);
@@ -204,18 +204,18 @@
 static void
 test_unusable_runs_count(void)
 {
-	struct mh_gans events = {
+	struct mh_gresp events = {
 		.status = 200, .genuine = true, .events = true
 	};
-	struct mh_gans none = { .status = 200, .genuine = true };
+	struct mh_gresp none = { .status = 200, .genuine = true };
 	struct grig *r = grig_create(4);
 	struct mh_node *first, *other;
 
-	grig_ask(r, "/resume/x", 0);
+	grig_request(r, "/resume/x", 0);
 	first = mh_fleet_find(r->f, r->last);
-	CU_ASSERT_EQUAL(mh_gate_head(r->g, r->cur, &events), MH_PASS);
+	CU_ASSERT_EQUAL(mh_gate_head(r->g, r->cur, &events), MH_FORWARD);
 	CU_ASSERT(first->fail == 0);
-	mh_gate_spoiled(r->g, r->cur, "test");
+	mh_gate_invalid_answer(r->g, r->cur, "test");
 	CU_ASSERT(first->fail > 0);
 	CU_ASSERT_EQUAL(r->aborts, 1);
 	CU_ASSERT_EQUAL(r->sends, 2);
@@ -245,14 +245,14 @@
 	o->priority = -1;
 	g_ptr_array_add(r->conf->orgs, o);
 	g_hash_table_insert(r->conf->keys, g_strdup("key"), o);
-	mh_gate_on_unknown(r->g, get_stale_us, &stale_us);
-	grig_ask(r, "/nowhere/x", 0);
+	mh_gate_on_stale_conf(r->g, get_stale_us, &stale_us);
+	grig_request(r, "/nowhere/x", 0);
 	CU_ASSERT_EQUAL(r->why, MH_NOT_READY);
 	CU_ASSERT(r->retry_us > 0);
-	grig_ask(r, "/safe/x", 0);
+	grig_request(r, "/safe/x", 0);
 	CU_ASSERT_EQUAL(r->why, MH_NOT_READY);
 	stale_us = 0;
-	grig_ask(r, "/nowhere/x", 0);
+	grig_request(r, "/nowhere/x", 0);
 	CU_ASSERT_EQUAL(r->why, MH_NO_ROUTE);
 	CU_ASSERT_EQUAL(r->sends, 0);
 	grig_destroy(r);
@@ -265,19 +265,19 @@
 	struct grig *r = grig_create(2);
 	struct mh_gorg *o = g_new0(struct mh_gorg, 1);
 
-	grig_ask(r, "/nowhere/x", 0);
+	grig_request(r, "/nowhere/x", 0);
 	CU_ASSERT_EQUAL(r->why, MH_NO_ROUTE);
 	o->name = g_strdup("org");
 	o->priority = -1;
 	g_ptr_array_add(r->conf->orgs, o);
 	g_hash_table_insert(r->conf->keys, g_strdup("key"), o);
-	grig_ask(r, "/safe/x", 0);
+	grig_request(r, "/safe/x", 0);
 	CU_ASSERT_EQUAL(r->why, MH_BAD_KEY);
 	CU_ASSERT_EQUAL(r->sends, 0);
 	CU_ASSERT_EQUAL(r->refused, 2);
 	grig_destroy(r);
 	r = grig_create(0);
-	grig_ask(r, "/safe/x", 0);
+	grig_request(r, "/safe/x", 0);
 	CU_ASSERT_EQUAL(r->why, MH_NO_ENDPOINT);
 	CU_ASSERT(r->retry_us > 0);
 	grig_destroy(r);
@@ -288,10 +288,10 @@
 test_caller_leaves(void)
 {
 	struct grig *r = grig_create(1);
-	struct mh_gask *q = grig_ask(r, "/safe/x", 0);
+	struct mh_greq *q = grig_request(r, "/safe/x", 0);
 
 	CU_ASSERT_EQUAL(mh_fleet_find(r->f, "n0")->inflight, 1);
-	mh_gate_gone(r->g, q);
+	mh_gate_caller_left(r->g, q);
 	grig_forget(r, q);
 	CU_ASSERT_EQUAL(r->aborts, 1);
 	CU_ASSERT_EQUAL(mh_fleet_find(r->f, "n0")->inflight, 0);
@@ -308,16 +308,16 @@
 {
 	struct grig *r = grig_create(2);
 
-	mh_gate_leaving(r->g, 7 * S);
-	grig_ask(r, "/stream/x", 0);
+	mh_gate_drain(r->g, 7 * S);
+	grig_request(r, "/stream/x", 0);
 	CU_ASSERT_EQUAL(r->sends, 1);
-	grig_pass(r, 3 * S);
-	grig_ask(r, "/stream/x", 0);
+	grig_advance(r, 3 * S);
+	grig_request(r, "/stream/x", 0);
 	CU_ASSERT_EQUAL(r->why, MH_NOT_READY);
-	grig_ask(r, "/once/x", 800 * MS);
+	grig_request(r, "/once/x", 800 * MS);
 	CU_ASSERT_EQUAL(r->sends, 2);
-	grig_pass(r, 3500 * MS);
-	grig_ask(r, "/once/x", 800 * MS);
+	grig_advance(r, 3500 * MS);
+	grig_request(r, "/once/x", 800 * MS);
 	CU_ASSERT_EQUAL(r->sends, 2);
 	CU_ASSERT_EQUAL(r->why, MH_NOT_READY);
 	CU_ASSERT(r->retry_us > 0);
@@ -333,26 +333,26 @@
 test_returned(void)
 {
 	struct grig *r = grig_create(2);
-	struct mh_gask *q;
+	struct mh_greq *q;
 
-	grig_ask(r, "/once/x", 6 * S);
-	q = grig_ask(r, "/once/x", 5200 * MS);
+	grig_request(r, "/once/x", 6 * S);
+	q = grig_request(r, "/once/x", 5200 * MS);
 	CU_ASSERT_FALSE(q->returned);
-	CU_ASSERT_EQUAL(q->aim_us, q->arrived_us + S);
-	q = grig_ask(r, "/once/x", 3 * S);
+	CU_ASSERT_EQUAL(q->slo_by_us, q->arrived_us + S);
+	q = grig_request(r, "/once/x", 3 * S);
 	CU_ASSERT_TRUE(q->returned);
-	CU_ASSERT(q->aim_us < q->arrived_us);
+	CU_ASSERT(q->slo_by_us < q->arrived_us);
 	grig_destroy(r);
 }
 
-static struct mh_gask *
+static struct mh_greq *
 request_with_stage(struct grig *r)
 {
 	struct mh_groute *t = mh_gconf_named(r->conf, "resume");
 
 	t->n_stages = 1;
 	t->stages[0].pool = g_strdup("work");
-	return grig_ask(r, "/resume/x", 0);
+	return grig_request(r, "/resume/x", 0);
 }
 
 /* Stage work that can't be done in time is refused at once as not run. */
@@ -378,8 +378,8 @@
 test_inputs_lost_at_engine(void)
 {
 	struct grig *r = grig_create(4);
-	struct mh_gans a = {
-		.status = 409, .not_run = true, .inputs_gone = true
+	struct mh_gresp a = {
+		.status = 409, .not_run = true, .inputs_lost = true
 	};
 
 	request_with_stage(r);
@@ -402,13 +402,13 @@
 test_job_refused_after_a_run(void)
 {
 	struct grig *r = grig_create(4);
-	struct mh_gans a = {
-		.status = 409, .not_run = true, .inputs_gone = true
+	struct mh_gresp a = {
+		.status = 409, .not_run = true, .inputs_lost = true
 	};
 
 	request_with_stage(r);
 	mh_gate_job_end(r->g, r->job, MH_JOB_DONE, 0);
-	mh_gate_end(r->g, r->cur, MH_CALL_BROKEN);
+	mh_gate_try_end(r->g, r->cur, MH_CALL_BROKEN);
 	CU_ASSERT_EQUAL(r->sends, 2);
 	CU_ASSERT_EQUAL(mh_gate_head(r->g, r->cur, &a), MH_DROP);
 	CU_ASSERT_EQUAL(r->jobs, 2);
@@ -438,20 +438,20 @@
 test_inputs_for_failover(void)
 {
 	struct grig *r = grig_create(2);
-	struct mh_gans a = { .status = 200, .genuine = true, .events = true };
+	struct mh_gresp a = { .status = 200, .genuine = true, .events = true };
 	GString *out = g_string_new(NULL);
 
 	request_with_stage(r);
 	finish_job(r);
-	CU_ASSERT_EQUAL(mh_gate_head(r->g, r->cur, &a), MH_PASS);
+	CU_ASSERT_EQUAL(mh_gate_head(r->g, r->cur, &a), MH_FORWARD);
 	mh_sse_feed(r->cur->events, "id: 1\ndata: x\n\n", 15, out);
 	mh_gate_progress(r->g, r->cur);
 	CU_ASSERT_EQUAL(r->dropped, 1);
 	for (int i = 0; i < 3; i++) {
-		grig_pass(r, 1500 * MS);
+		grig_advance(r, 1500 * MS);
 		mh_gate_progress(r->g, r->cur);
 	}
-	mh_gate_end(r->g, r->cur, MH_CALL_BROKEN);
+	mh_gate_try_end(r->g, r->cur, MH_CALL_BROKEN);
 	CU_ASSERT_EQUAL(r->sends, 1);
 	CU_ASSERT_EQUAL(r->jobs, 2);
 	CU_ASSERT(r->job->deadline_us > mh_now(r->k) + S);
@@ -468,16 +468,16 @@
 test_work_within_client_timeout(void)
 {
 	struct grig *r = grig_create(2);
-	struct mh_gans a = { .status = 200, .genuine = true, .events = true };
-	struct mh_gask *q;
+	struct mh_gresp a = { .status = 200, .genuine = true, .events = true };
+	struct mh_greq *q;
 
 	mh_gconf_named(r->conf, "resume")->timeout_us = 20 * S;
 	q = request_with_stage(r);
 	finish_job(r);
 	mh_gate_head(r->g, r->cur, &a);
 	mh_gate_progress(r->g, r->cur);
-	grig_pass(r, S);
-	mh_gate_end(r->g, r->cur, MH_CALL_BROKEN);
+	grig_advance(r, S);
+	mh_gate_try_end(r->g, r->cur, MH_CALL_BROKEN);
 	CU_ASSERT(r->job->deadline_us > mh_now(r->k) + S);
 	/* At most four latency objectives or 2 s after the last event. */
 	CU_ASSERT(r->job->deadline_us < q->arrived_us + 4 * S);
@@ -489,7 +489,7 @@
 test_inputs_for_each_run(void)
 {
 	struct grig *r = grig_create(4);
-	struct mh_gans a = { .status = 200, .genuine = true, .events = true };
+	struct mh_gresp a = { .status = 200, .genuine = true, .events = true };
 
 	mh_gconf_named(r->conf, "resume")->attempts = 3;
 	request_with_stage(r);
@@ -499,7 +499,7 @@
 		CU_ASSERT_EQUAL(r->sends, run);
 		mh_gate_head(r->g, r->cur, &a);
 		mh_gate_progress(r->g, r->cur);
-		mh_gate_end(r->g, r->cur, MH_CALL_BROKEN);
+		mh_gate_try_end(r->g, r->cur, MH_CALL_BROKEN);
 	}
 	CU_ASSERT_EQUAL(r->jobs, 3);
 	CU_ASSERT_EQUAL(r->broken, 1);
@@ -511,17 +511,17 @@
 test_new_job_survives_timer(void)
 {
 	struct grig *r = grig_create(2);
-	struct mh_gans a = { .status = 200, .genuine = true, .events = true };
+	struct mh_gresp a = { .status = 200, .genuine = true, .events = true };
 	GString *out = g_string_new(NULL);
 
 	request_with_stage(r);
 	finish_job(r);
-	CU_ASSERT_EQUAL(mh_gate_head(r->g, r->cur, &a), MH_PASS);
+	CU_ASSERT_EQUAL(mh_gate_head(r->g, r->cur, &a), MH_FORWARD);
 	mh_sse_feed(r->cur->events, "id: 1\ndata: x\n\n", 15, out);
 	mh_gate_progress(r->g, r->cur);
-	mh_gate_end(r->g, r->cur, MH_CALL_BROKEN);
+	mh_gate_try_end(r->g, r->cur, MH_CALL_BROKEN);
 	CU_ASSERT_EQUAL(r->jobs, 2);
-	grig_pass(r, 200 * MS);
+	grig_advance(r, 200 * MS);
 	CU_ASSERT_EQUAL_FATAL(r->dropped, 1);
 	finish_job(r);
 	CU_ASSERT_EQUAL(r->sends, 2);
@@ -535,7 +535,7 @@
 {
 	struct grig *r = grig_create(2);
 
-	grig_ask(r, "/once/x", 10 * MS);
+	grig_request(r, "/once/x", 10 * MS);
 	CU_ASSERT_EQUAL(r->sends, 0);
 	CU_ASSERT_EQUAL(r->why, MH_NOT_IN_TIME);
 	grig_destroy(r);
@@ -550,7 +550,7 @@
 	request_with_stage(r);
 	mh_gate_job_end(r->g, r->job, MH_JOB_DONE, 0);
 	CU_ASSERT_EQUAL(r->dropped, 0);
-	grig_pass(r, 100 * MS);
+	grig_advance(r, 100 * MS);
 	CU_ASSERT_EQUAL(r->dropped, 1);
 	grig_destroy(r);
 }
@@ -657,12 +657,12 @@
 	CU_ASSERT_TRUE(mh_node_usable(r->f, n));
 	mh_node_bad(r->f, n, "test");
 	CU_ASSERT_FALSE(mh_node_usable(r->f, n));
-	grig_pass(r, 800 * MS);
+	grig_advance(r, 800 * MS);
 	CU_ASSERT_TRUE(mh_node_usable(r->f, n));
 	mh_node_bad(r->f, n, "test");
-	grig_pass(r, 800 * MS);
+	grig_advance(r, 800 * MS);
 	CU_ASSERT_FALSE(mh_node_usable(r->f, n));
-	grig_pass(r, 1 * S);
+	grig_advance(r, 1 * S);
 	CU_ASSERT_TRUE(mh_node_usable(r->f, n));
 	grig_destroy(r);
 }
@@ -679,11 +679,11 @@
 		n++;
 	CU_ASSERT_EQUAL(n, 10);
 	for (int i = 0; i < 50; i++)
-		mh_budget_first(r->b, "pool");
+		mh_budget_request(r->b, "pool");
 	while (mh_budget_take(r->b, "pool"))
 		n++;
 	CU_ASSERT_EQUAL(n, 20);
-	grig_pass(r, 11 * S);
+	grig_advance(r, 11 * S);
 	CU_ASSERT_TRUE(mh_budget_take(r->b, "pool"));
 	grig_destroy(r);
 }
@@ -699,12 +699,12 @@
 	struct mh_budget_args b = { 0.2, 50, 8 * S };
 	uint32_t n = 0;
 
-	grig_pass(r, 95 * S);
+	grig_advance(r, 95 * S);
 	while (mh_budget_take(r->b, "pool"))
 		n++;
 	CU_ASSERT_EQUAL(n, 40);
 	mh_budget_set(r->b, &b);
-	grig_pass(r, 10 * MS);
+	grig_advance(r, 10 * MS);
 	while (mh_budget_take(r->b, "pool"))
 		n++;
 	CU_ASSERT_EQUAL(n, 40);
@@ -762,9 +762,9 @@
 		struct grig *r = grig_create(1);
 		int64_t stale_us = t[i].stale_us;
 
-		mh_gate_on_unknown(r->g, get_stale_us, &stale_us);
-		mh_gate_conf_most(r->g, 2500 * MS);
-		grig_ask(r, t[i].target, 0);
+		mh_gate_on_stale_conf(r->g, get_stale_us, &stale_us);
+		mh_gate_max_stale_conf(r->g, 2500 * MS);
+		grig_request(r, t[i].target, 0);
 		CU_ASSERT_EQUAL(r->sends, t[i].sends);
 		CU_ASSERT_EQUAL(r->refused, t[i].sends == 0);
 		if (t[i].sends == 0)
--- a/regress/t_leave.c
+++ b/regress/t_leave.c
@@ -15,7 +15,7 @@
 #define REMAINING_US (7 * S)
 
 /* A chat reply: stage work, then a stream that can't be resumed. */
-static struct mh_gask *
+static struct mh_greq *
 chat(struct grig *r)
 {
 	struct mh_groute *t = mh_gconf_named(r->conf, "stream");
@@ -24,20 +24,20 @@
 	if (t->stages[0].pool == NULL)
 		t->stages[0].pool = g_strdup("work");
 	t->timeout_us = LONG_DEADLINE_US;
-	return grig_ask(r, "/stream/x", LONG_DEADLINE_US);
+	return grig_request(r, "/stream/x", LONG_DEADLINE_US);
 }
 
 /* Completes the last request: stage work, then a stream of @us. */
 static void
 stream_for(struct grig *r, int64_t us)
 {
-	struct mh_gans a = { .status = 200, .genuine = true, .events = true };
+	struct mh_gresp a = { .status = 200, .genuine = true, .events = true };
 
 	mh_gate_job_end(r->g, r->job, MH_JOB_DONE, 0);
-	CU_ASSERT_EQUAL(mh_gate_head(r->g, r->cur, &a), MH_PASS);
+	CU_ASSERT_EQUAL(mh_gate_head(r->g, r->cur, &a), MH_FORWARD);
 	mh_gate_progress(r->g, r->cur);
-	grig_pass(r, us);
-	mh_gate_end(r->g, r->cur, MH_CALL_WHOLE);
+	grig_advance(r, us);
+	mh_gate_try_end(r->g, r->cur, MH_CALL_WHOLE);
 }
 
 /*
@@ -51,11 +51,11 @@
 	struct grig *r = grig_create(2);
 
 	chat(r);
-	mh_gate_leaving(r->g, REMAINING_US);
-	grig_pass(r, 500 * MS);
+	mh_gate_drain(r->g, REMAINING_US);
+	grig_advance(r, 500 * MS);
 	chat(r);
 	CU_ASSERT_EQUAL(r->jobs, 2);
-	grig_pass(r, REMAINING_US - 500 * MS);
+	grig_advance(r, REMAINING_US - 500 * MS);
 	CU_ASSERT_EQUAL(mh_gate_open(r->g), 0);
 	CU_ASSERT_EQUAL(r->refused, 2);
 	CU_ASSERT_EQUAL(r->why, MH_NOT_READY);
@@ -74,9 +74,9 @@
 {
 	struct grig *r = grig_create(2);
 
-	grig_ask(r, "/once/x", 6 * S);
-	mh_gate_leaving(r->g, 3 * S);
-	grig_pass(r, 3 * S);
+	grig_request(r, "/once/x", 6 * S);
+	mh_gate_drain(r->g, 3 * S);
+	grig_advance(r, 3 * S);
 	CU_ASSERT_EQUAL(mh_gate_open(r->g), 0);
 	CU_ASSERT_EQUAL(r->refused, 1);
 	CU_ASSERT_EQUAL(r->why, MH_RUN_TIMEOUT);
@@ -92,16 +92,16 @@
 test_stream_broken_off(void)
 {
 	struct grig *r = grig_create(2);
-	struct mh_gans a = { .status = 200, .genuine = true, .events = true };
+	struct mh_gresp a = { .status = 200, .genuine = true, .events = true };
 
 	chat(r);
 	mh_gate_job_end(r->g, r->job, MH_JOB_DONE, 0);
-	CU_ASSERT_EQUAL(mh_gate_head(r->g, r->cur, &a), MH_PASS);
+	CU_ASSERT_EQUAL(mh_gate_head(r->g, r->cur, &a), MH_FORWARD);
 	mh_gate_progress(r->g, r->cur);
-	mh_gate_leaving(r->g, REMAINING_US);
-	grig_pass(r, REMAINING_US - 1 * MS);
+	mh_gate_drain(r->g, REMAINING_US);
+	grig_advance(r, REMAINING_US - 1 * MS);
 	CU_ASSERT_EQUAL(r->broken, 0);
-	grig_pass(r, 1 * MS);
+	grig_advance(r, 1 * MS);
 	CU_ASSERT_EQUAL(r->broken, 1);
 	CU_ASSERT_EQUAL(mh_gate_open(r->g), 0);
 	grig_destroy(r);
@@ -123,12 +123,12 @@
 	CU_ASSERT_EQUAL(r->finished, 1);
 	chat(r);
 	chat(r);
-	mh_gate_leaving(r->g, REMAINING_US);
-	grig_pass(r, REMAINING_US - 3500 * MS);
+	mh_gate_drain(r->g, REMAINING_US);
+	grig_advance(r, REMAINING_US - 3500 * MS);
 	CU_ASSERT_EQUAL(r->refused, 0);
 	mh_gate_job_end(r->g, r->job, MH_JOB_DONE, 0);
 	CU_ASSERT_EQUAL(r->sends, 2);
-	grig_pass(r, 600 * MS);
+	grig_advance(r, 600 * MS);
 	CU_ASSERT_EQUAL(r->refused, 1);
 	CU_ASSERT_EQUAL(r->why, MH_NOT_READY);
 	CU_ASSERT_EQUAL(mh_gate_open(r->g), 1);
@@ -152,8 +152,8 @@
 		stream_for(r, 1 * S);
 	}
 	chat(r);
-	mh_gate_leaving(r->g, REMAINING_US);
-	grig_pass(r, 3 * S);
+	mh_gate_drain(r->g, REMAINING_US);
+	grig_advance(r, 3 * S);
 	CU_ASSERT_EQUAL(r->refused, 0);
 	CU_ASSERT_EQUAL(mh_gate_open(r->g), 1);
 	grig_destroy(r);
@@ -169,7 +169,7 @@
 {
 	struct grig *r = grig_create(2);
 
-	mh_gate_leaving(r->g, 3 * S);
+	mh_gate_drain(r->g, 3 * S);
 	chat(r);
 	mh_gate_job_end(r->g, r->job, MH_JOB_REFUSED, 5 * S);
 	CU_ASSERT_EQUAL(r->why, MH_NOT_READY);
@@ -187,7 +187,7 @@
 {
 	struct grig *r = grig_create(2);
 
-	mh_gate_leaving(r->g, 3 * S);
+	mh_gate_drain(r->g, 3 * S);
 	chat(r);
 	CU_ASSERT(r->job->deadline_us <= r->now_us + 3 * S);
 	grig_destroy(r);
--- a/regress/t_platform.c
+++ b/regress/t_platform.c
@@ -341,7 +341,7 @@
 		const struct head *w = &heads[i];
 		struct mh_headers *h = mh_headers_create();
 		gchar **f = g_strsplit(w->fields, ";", -1);
-		struct mh_gans a;
+		struct mh_gresp a;
 
 		for (int n = 0; f[n] != NULL && *f[n] != '\0'; n++) {
 			gchar **kv = g_strsplit(f[n], ": ", 2);
@@ -351,8 +351,8 @@
 		}
 		plat_ans_decode(w->status, h, &a);
 		CU_ASSERT_EQUAL(a.not_run, w->not_run);
-		CU_ASSERT_EQUAL(a.moved, w->moved);
-		CU_ASSERT_EQUAL(a.inputs_gone, w->inputs_gone);
+		CU_ASSERT_EQUAL(a.addr_reused, w->moved);
+		CU_ASSERT_EQUAL(a.inputs_lost, w->inputs_gone);
 		CU_ASSERT_EQUAL(a.genuine, w->genuine);
 		CU_ASSERT_EQUAL(a.events, w->events);
 		g_strfreev(f);
@@ -364,11 +364,11 @@
 test_load(void)
 {
 	struct mh_headers *h = mh_headers_create();
-	struct mh_gans a;
+	struct mh_gresp a;
 
 	mh_headers_add(h, "X-Instance-Load", "3,1,8");
 	plat_ans_decode(200, h, &a);
-	CU_ASSERT_TRUE(a.told);
+	CU_ASSERT_TRUE(a.has_load);
 	CU_ASSERT_EQUAL(a.running, 3);
 	CU_ASSERT_EQUAL(a.waiting, 1);
 	CU_ASSERT_EQUAL(a.slots, 8);
@@ -376,7 +376,7 @@
 	h = mh_headers_create();
 	mh_headers_add(h, "X-Instance-Load", "3,x");
 	plat_ans_decode(200, h, &a);
-	CU_ASSERT_FALSE(a.told);
+	CU_ASSERT_FALSE(a.has_load);
 	mh_headers_destroy(h);
 }
 
@@ -403,13 +403,13 @@
 
 	for (size_t i = 0; i < G_N_ELEMENTS(t); i++) {
 		struct mh_headers *h = mh_headers_create();
-		struct mh_gans a;
+		struct mh_gresp a;
 
 		mh_headers_add(h, "X-Instance-Load", t[i].text);
 		plat_ans_decode(200, h, &a);
-		CU_ASSERT_EQUAL(a.told, t[i].told);
+		CU_ASSERT_EQUAL(a.has_load, t[i].told);
 		CU_ASSERT_EQUAL(a.pace_percent, t[i].percent);
-		if (a.told)
+		if (a.has_load)
 			CU_ASSERT_EQUAL(a.slots, 8);
 		mh_headers_destroy(h);
 	}
--- a/regress/t_poison.c
+++ b/regress/t_poison.c
@@ -441,12 +441,13 @@
 {
 	const char *text;
 
-	CU_ASSERT_EQUAL(plat_refusal(MH_HELD, &text), 503);
+	CU_ASSERT_EQUAL(plat_refusal(MH_QUARANTINED, &text), 503);
 	CU_ASSERT_PTR_NOT_NULL(strstr(text, "not run"));
-	CU_ASSERT_EQUAL(plat_refusal(MH_RUN_HELD, &text), 502);
+	CU_ASSERT_EQUAL(plat_refusal(MH_RUN_QUARANTINED, &text), 502);
 	CU_ASSERT_PTR_NULL(strstr(text, "not run"));
-	CU_ASSERT_STRING_EQUAL(mh_gate_refusal_name(MH_HELD), "held");
-	CU_ASSERT_STRING_EQUAL(mh_gate_refusal_name(MH_RUN_HELD), "run_held");
+	CU_ASSERT_STRING_EQUAL(mh_gate_refusal_name(MH_QUARANTINED), "held");
+	CU_ASSERT_STRING_EQUAL(
+	    mh_gate_refusal_name(MH_RUN_QUARANTINED), "run_held");
 }
 
 /* stage work */
