--- a/lib/addr.c
+++ b/lib/addr.c
@@ -1,5 +1,5 @@
 /**
- * DOC: Addresses are IP:PORT with an IP number; names are never resolved.
+ * DOC: Addresses are IPv4:PORT; host names are not resolved.
  */
 
 #include "gate.h"
@@ -11,7 +11,7 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-/* Connections that wait to be accepted while the process is busy. */
+/* Connections that can wait for accept() while the process is busy. */
 #define BACKLOG 1024
 
 bool
--- a/lib/gate.h
+++ b/lib/gate.h
@@ -507,52 +507,52 @@
 uint32_t mh_cells_pick(
     struct mh_cells *cs, const uint32_t *some, uint32_t n, double unit);
 
-/* sse.c: whole events of a stream, and where it stands */
+/* sse.c: complete events of a stream, and its position */
 
-/** struct mh_cursor - where a stream stands, over all its runs. */
+/** struct mh_cursor - position of a stream, across all its runs. */
 struct mh_cursor;
 /**
- * mh_cursor_create() - at the beginning, or behind the event @after.
- * @after: an id, NULL: none.
- * @ordered: the stream's ids increase; one that does not is a fault.
+ * mh_cursor_create() - at the beginning, or after the event @after.
+ * @after: id of the last event that the caller has, or NULL
+ * @ordered: the stream's ids increase; one that does not is a fault
  */
 struct mh_cursor *mh_cursor_create(const char *after, bool ordered);
 void mh_cursor_destroy(struct mh_cursor *c);
-/** mh_cursor_lost() - behind the last number came events that have none. */
+/** mh_cursor_has_unnumbered() - events without a number came after the last. */
 bool mh_cursor_lost(const struct mh_cursor *c);
-/** mh_cursor_last_id() - the number of the last whole event, or NULL. */
+/** mh_cursor_last_id() - id of the last event that has a number, or NULL. */
 const char *mh_cursor_last_id(const struct mh_cursor *c);
 
-/** enum mh_sse_fault - why a run can't be passed on. */
+/** enum mh_sse_fault - why a run cannot be passed on any further. */
 enum mh_sse_fault {
 	MH_SSE_GOOD,
-	MH_SSE_REPEATED, /* an event that the stream has, or has passed */
-	MH_SSE_SKIPPED, /* an event is missing before it */
+	MH_SSE_REPEATED, /* an event's id is not above the last one */
+	MH_SSE_SKIPPED, /* an event is missing before this one */
 	MH_SSE_TOO_LONG /* an event of more than 1 MiB */
 };
 
-/** mh_sse_fault_name() - as logs know it. */
+/** mh_sse_fault_name() - the name in logs. */
 const char *mh_sse_fault_name(enum mh_sse_fault f);
 
 /** struct mh_sse - reads the events of one run. */
 struct mh_sse;
 /**
- * mh_sse_create() - moves @c, which outlives it.
- * @known: how its endpoint numbers events.
+ * mh_sse_create() - a reader that advances @c, which must outlive it.
+ * @prior_ids: how its endpoint numbered the events of earlier streams
  */
-struct mh_sse *mh_sse_create(struct mh_cursor *c, enum mh_ids known);
+struct mh_sse *mh_sse_create(struct mh_cursor *c, enum mh_ids prior_ids);
 void mh_sse_destroy(struct mh_sse *s);
 /**
- * mh_sse_feed() - appends to @out what completes events.
+ * mh_sse_feed() - appends the events that @data completes to @out.
  *
- * Returns the fault of the first event that can't be passed on; nothing of it,
- * or behind it, is in @out, and the run is not to be read on.
+ * Returns the fault of the first event that cannot be passed on.  Neither this
+ * event nor a later one is in @out; feed no more data of this run.
  */
 enum mh_sse_fault mh_sse_feed(
     struct mh_sse *s, const char *data, size_t len, GString *out);
-/** mh_sse_ids() - how the run numbers events, if it began its stream. */
+/** mh_sse_ids() - how the run numbers events; set if it began its stream. */
 enum mh_ids mh_sse_ids(const struct mh_sse *s);
-/** mh_sse_held() - bytes of an event that is not whole yet. */
+/** mh_sse_pending_bytes() - bytes received of an incomplete event. */
 size_t mh_sse_held(const struct mh_sse *s);
 
 /* gate.c: one request from its arrival to its end */
--- a/lib/hcall.c
+++ b/lib/hcall.c
@@ -1,9 +1,9 @@
 /**
- * DOC: HTTP/1.1 client that sends a request once, whatever happens.
+ * DOC: HTTP/1.1 client that sends each request at most once.
  *
- * libcurl sends again by itself when a kept connection closed before an
- * answer, and takes a late second answer for the next one.  Here a call says
- * exactly what is known of it: complete, never sent, or sent and broken.
+ * libcurl resends by itself when a kept connection closes before a response,
+ * and takes a late duplicate response for the next one.  Here a call is never
+ * resent, and its outcome says whether the request may have been executed.
  */
 
 #include "gate.h"
@@ -19,25 +19,26 @@
 
 #define READ_SIZE 32768
 /*
- * Connecting takes one round trip; where the opening packet is lost or the
- * queue of a listener is full the next try comes after a second.
+ * Connecting takes one round trip.  If the SYN is lost or the listen queue is
+ * full the kernel sends the next SYN after a second; a call does not wait for
+ * it.
  */
 #define CONNECT_US (300 * MH_US_PER_MS)
-/* A silent peer is noticed within this time while bytes are unacknowledged. */
+/* A silent peer is detected within this time while bytes are unacknowledged. */
 #define USER_TIMEOUT_MS 2000
 /*
  * A kept connection is not used in the last part of the idle time that its
- * peer announced: our request would cross the peer's close, and a request
- * that must not run twice could not be sent again.
+ * peer announced: the request could cross the peer's close, and a request that
+ * must not run twice could not be retried.
  */
 #define IDLE_MARGIN_US (500 * MH_US_PER_MS)
-/* Idle time of a peer that announces none; below any usual default. */
-#define IDLE_UNTOLD_US (900 * MH_US_PER_MS)
-/* Longer times that a peer tells are cut to this. */
-#define IDLE_MOST_S 3600
+/* Idle time for a peer that announces none; below any usual default. */
+#define IDLE_DEFAULT_US (900 * MH_US_PER_MS)
+/* Longer times that a peer announces are cut to this. */
+#define IDLE_MAX_S 3600
 
-/* Interim answers, and answers of others, that a call reads before its own. */
-#define MAX_BEFORE 64
+/* Interim responses and those of other calls that a call skips at most. */
+#define MAX_SKIPPED 64
 
 struct conn;
 
@@ -45,30 +46,30 @@
 	struct conn *c;
 	GBytes *text;
 	size_t sent;
-	uint32_t before; /* answers that came and are not its own */
+	uint32_t skipped; /* interim responses and those of other calls */
 	char *echo_name;
 	char *echo;
 	bool is_head;
-	bool aborted; /* before its first byte; done() is not called */
+	bool aborted; /* without a connection; done() is not called */
 	struct mh_hcall_fns fns;
 	void *arg;
 };
 
 struct conn {
-	struct mh_hcalls *all;
+	struct mh_hcalls *calls;
 	char *addr;
 	char *peer;
 	int fd;
 	bool connected;
-	bool stranger; /* the answer being read is not our call's */
-	bool echoes; /* an answer on it has borne its request's id */
-	bool spent; /* not to be kept */
-	bool headed; /* the answer's head has come; fields now are trailers */
-	bool whole; /* the answer has come to its end */
-	bool lost; /* freed as soon as the parser returns */
+	bool is_foreign; /* the response being read is of another call */
+	bool has_echoed; /* a response on it had the echo field */
+	bool no_reuse; /* close it after the call */
+	bool head_done; /* the head is parsed; further fields are trailers */
+	bool is_complete; /* the response is complete */
+	bool free_pending; /* free it as soon as the parser returns */
 	bool parsing;
-	int64_t idle_at_us;
-	int64_t idle_us; /* how long the peer keeps it */
+	int64_t idle_since_us;
+	int64_t idle_limit_us; /* how long it may stay idle */
 	http_parser parser;
 	struct mh_line_ends lines;
 	struct mh_headers *headers;
@@ -100,11 +101,11 @@
 static void
 free_conn(struct conn *c)
 {
-	struct mh_hcalls *a = c->all;
+	struct mh_hcalls *a = c->calls;
 	GPtrArray *list = g_hash_table_lookup(a->peers, c->peer);
 
-	if (c->parsing) { /* the parser still uses it */
-		c->lost = true;
+	if (c->parsing) { /* take_input() frees it */
+		c->free_pending = true;
 		return;
 	}
 	g_ptr_array_remove_fast(list, c);
@@ -122,9 +123,9 @@
 	g_free(c);
 }
 
-/* Ends the connection's call, if any, and the connection. */
+/* Closes the connection and ends its call, if any. */
 static void
-end_both(struct conn *c, enum mh_hcall_end end)
+end_call_and_conn(struct conn *c, enum mh_hcall_end outcome)
 {
 	struct mh_hcall *h = c->call;
 
@@ -132,33 +133,33 @@
 	free_conn(c);
 	if (h == NULL)
 		return;
-	h->fns.done(h->arg, h->sent == 0 ? MH_CALL_UNSENT : end);
+	h->fns.done(h->arg, h->sent == 0 ? MH_CALL_UNSENT : outcome);
 	free_call(h);
 }
 
 static void
-fail(struct conn *c)
+fail_conn(struct conn *c)
 {
-	end_both(c, MH_CALL_BROKEN);
+	end_call_and_conn(c, MH_CALL_BROKEN);
 }
 
 static void
-on_late(void *arg)
+on_timeout(void *arg)
 {
 	struct conn *c = arg;
 
 	c->timer = NULL;
 	if (c->call != NULL && !c->connected)
-		mh_count(c->all->k, "call_connect_timeouts", 1);
-	fail(c);
+		mh_count(c->calls->k, "call_connect_timeouts", 1);
+	fail_conn(c);
 }
 
 static void
 set_timer(struct conn *c, int64_t us)
 {
-	mh_timer_stop(c->all->k, &c->timer);
+	mh_timer_stop(c->calls->k, &c->timer);
 	if (us > 0)
-		c->timer = mh_timer_start(c->all->k, us, on_late, c);
+		c->timer = mh_timer_start(c->calls->k, us, on_timeout, c);
 }
 
 /* parsing */
@@ -173,17 +174,16 @@
 	g_string_truncate(c->name, 0);
 	g_string_truncate(c->value, 0);
 	c->in_value = false;
-	c->headed = false;
-	c->stranger = false;
-	c->whole = false;
+	c->head_done = false;
+	c->is_foreign = false;
+	c->is_complete = false;
 	return 0;
 }
 
 static void
 end_field(struct conn *c)
 {
-	/* The parser lets spaces pass between an answer's name and its colon.
-	 */
+	/* In responses the parser accepts spaces between name and colon. */
 	g_strchomp(c->name->str);
 	if (c->name->len > 0)
 		mh_headers_add(c->headers, c->name->str, c->value->str);
@@ -196,7 +196,7 @@
 {
 	struct conn *c = p->data;
 
-	if (c->headed)
+	if (c->head_done)
 		return 0;
 	if (c->in_value)
 		end_field(c);
@@ -210,7 +210,7 @@
 {
 	struct conn *c = p->data;
 
-	if (c->headed)
+	if (c->head_done)
 		return 0;
 	c->in_value = true;
 	g_string_append_len(c->value, at, (gssize)n);
@@ -225,37 +225,38 @@
 	int64_t us;
 
 	if (!keep)
-		c->spent = true;
-	c->idle_us = IDLE_UNTOLD_US;
+		c->no_reuse = true;
+	c->idle_limit_us = IDLE_DEFAULT_US;
 	if (t == NULL)
 		return;
-	us = MIN(g_ascii_strtoll(t + strlen("timeout="), NULL, 10),
-		 IDLE_MOST_S) *
+	us =
+	    MIN(g_ascii_strtoll(t + strlen("timeout="), NULL, 10), IDLE_MAX_S) *
 	    MH_US_PER_S;
-	c->idle_us = MAX(us - IDLE_MARGIN_US, us / 4);
-	if (c->idle_us <= 0)
-		c->spent = true;
+	c->idle_limit_us = MAX(us - IDLE_MARGIN_US, us / 4);
+	if (c->idle_limit_us <= 0)
+		c->no_reuse = true;
 }
 
-enum whose { OURS, STRANGERS, UNKNOWN };
+enum attribution { OWN, FOREIGN, UNCLEAR };
 
 /*
- * A second answer to an earlier request may come where our call's is due;
- * handing it on would give a caller the answer of another.  The echoed id
- * tells them apart; where the peer echoes ids one without can't be told.
+ * A peer may send a second response to an earlier request of the connection.
+ * The echoed id tells it from the response to @h, so that no caller gets the
+ * response of another.  Once the peer has echoed an id, a response without one
+ * cannot be attributed.
  */
-static enum whose
-whose(struct conn *c, const struct mh_hcall *h)
+static enum attribution
+attribution(struct conn *c, const struct mh_hcall *h)
 {
 	const char *echo;
 
 	if (h->echo_name == NULL)
-		return OURS;
+		return OWN;
 	echo = mh_headers_get(c->headers, h->echo_name);
 	if (echo == NULL)
-		return c->echoes ? UNKNOWN : OURS;
-	c->echoes = true;
-	return strcmp(echo, h->echo) == 0 ? OURS : STRANGERS;
+		return c->has_echoed ? UNCLEAR : OWN;
+	c->has_echoed = true;
+	return strcmp(echo, h->echo) == 0 ? OWN : FOREIGN;
 }
 
 static bool
@@ -264,7 +265,7 @@
 	return status < 200 || status == 204 || status == 304;
 }
 
-/* What the parser takes and is no answer of HTTP/1 that we can pass on. */
+/* The parser accepts more than HTTP/1 responses that can be passed on. */
 static bool
 is_http1(const http_parser *p)
 {
@@ -275,42 +276,44 @@
 static int
 on_headers(http_parser *p)
 {
-	/* To the parser 1 says that no body follows, whatever the fields do. */
+	/* A return of 1 tells the parser that no body follows. */
 	int bodyless = has_no_body(p->status_code) ? 1 : 0;
 	struct conn *c = p->data;
 	struct mh_hcall *h = c->call;
 
 	end_field(c);
-	c->headed = true;
+	c->head_done = true;
 	if (!is_http1(p))
 		return -1;
-	/* Nobody undoes another coding, whose bytes would pass as the body. */
+	/* Other codings are not decoded here: coded bytes would be passed on
+	 * as the body. */
 	if (!mh_headers_coding_ok(c->headers))
 		return -1;
-	/* Only of 304 a length tells of another answer; else one may follow. */
+	/* In a 304 the length is that of a 200 response.  With any other
+	 * status the peer may wrongly send the body. */
 	if (bodyless && p->status_code != 304 &&
 	    (p->flags & (F_CHUNKED | F_CONTENTLENGTH)))
-		c->spent = true;
+		c->no_reuse = true;
 	if (h == NULL)
 		return -1;
 	if (p->status_code < 200)
-		return ++h->before > MAX_BEFORE ? -1 : bodyless;
+		return ++h->skipped > MAX_SKIPPED ? -1 : bodyless;
 	read_keep_alive(c, http_should_keep_alive(p));
-	switch (whose(c, h)) {
-	case OURS:
+	switch (attribution(c, h)) {
+	case OWN:
 		break;
-	case STRANGERS:
-		mh_count(c->all->k, "call_stray_answers", 1);
-		c->stranger = true;
-		c->spent = true;
-		return ++h->before > MAX_BEFORE ? -1 : bodyless;
-	case UNKNOWN:
+	case FOREIGN:
+		mh_count(c->calls->k, "call_stray_answers", 1);
+		c->is_foreign = true;
+		c->no_reuse = true;
+		return ++h->skipped > MAX_SKIPPED ? -1 : bodyless;
+	case UNCLEAR:
 		return -1;
 	}
 	h->fns.head(h->arg, p->status_code, c->headers,
 	    (p->flags & F_CONTENTLENGTH) ? (int64_t)p->content_length : -1);
 	/* The callback may have aborted the call. */
-	if (c->lost)
+	if (c->free_pending)
 		return -1;
 	return h->is_head ? 1 : bodyless;
 }
@@ -322,13 +325,13 @@
 	struct conn *c = p->data;
 	struct mh_hcall *h = c->call;
 
-	if (!mh_line_ends_upto(&c->lines, at, chunked))
+	if (!mh_line_ends_check(&c->lines, at, chunked))
 		return -1;
 	mh_line_ends_body(&c->lines, at + n, chunked);
-	if (c->stranger || h == NULL)
+	if (c->is_foreign || h == NULL)
 		return 0;
 	h->fns.data(h->arg, at, n);
-	return c->lost ? -1 : 0;
+	return c->free_pending ? -1 : 0;
 }
 
 static int
@@ -336,9 +339,9 @@
 {
 	struct conn *c = p->data;
 
-	if (p->status_code < 200 || c->stranger)
+	if (p->status_code < 200 || c->is_foreign)
 		return 0;
-	c->whole = true;
+	c->is_complete = true;
 	http_parser_pause(p, 1);
 	return 0;
 }
@@ -362,11 +365,11 @@
 go_idle(struct conn *c)
 {
 	c->call = NULL;
-	c->whole = false;
-	c->idle_at_us = mh_now(c->all->k);
+	c->is_complete = false;
+	c->idle_since_us = mh_now(c->calls->k);
 	start_parser(c);
-	set_timer(c, c->idle_us);
-	mh_loop_fd(c->all->loop, c->fd, true, false, on_io, c);
+	set_timer(c, c->idle_limit_us);
+	mh_loop_fd(c->calls->loop, c->fd, true, false, on_io, c);
 }
 
 static void
@@ -374,12 +377,12 @@
 {
 	struct mh_hcall *h = c->call;
 
-	/* An answer before the whole request was sent: the rest would be
-	 * read as the next request. */
+	/* The response came before the whole request was sent: the peer
+	 * would take the rest for the next request. */
 	if (h->sent < g_bytes_get_size(h->text))
 		keep = false;
 	c->call = NULL;
-	if (keep && !c->spent)
+	if (keep && !c->no_reuse)
 		go_idle(c);
 	else
 		free_conn(c);
@@ -387,18 +390,18 @@
 	free_call(h);
 }
 
-/* Takes bytes of the answer; len 0 is the end of the connection. */
+/* Parses bytes of the response; @len 0 is the end of the connection. */
 static void
-take(struct conn *c, const char *data, size_t len)
+take_input(struct conn *c, const char *data, size_t len)
 {
-	bool sound;
+	bool is_valid;
 	size_t n;
 
 	c->parsing = true;
 	mh_line_ends_feed(&c->lines, data);
 	n = http_parser_execute(&c->parser, &callbacks, data, len);
 	c->parsing = false;
-	if (c->lost) {
+	if (c->free_pending) {
 		struct mh_hcall *h = c->call;
 
 		c->call = NULL;
@@ -407,24 +410,25 @@
 			free_call(h);
 		return;
 	}
-	sound = (HTTP_PARSER_ERRNO(&c->parser) == HPE_OK || c->whole) &&
-	    mh_line_ends_upto(
+	is_valid =
+	    (HTTP_PARSER_ERRNO(&c->parser) == HPE_OK || c->is_complete) &&
+	    mh_line_ends_check(
 		&c->lines, data + n, (c->parser.flags & F_CHUNKED) != 0);
-	if (c->whole && sound) {
-		/* Bytes behind a complete answer belong to no request. */
+	if (c->is_complete && is_valid) {
+		/* Surplus bytes belong to no request: do not reuse it. */
 		finish(c, len > 0 && n == len);
 		return;
 	}
 	if (len == 0) {
-		fail(c);
-	} else if (!sound) {
-		mh_count(c->all->k, "call_malformed_answers", 1);
-		end_both(c, MH_CALL_UNREADABLE);
+		fail_conn(c);
+	} else if (!is_valid) {
+		mh_count(c->calls->k, "call_malformed_answers", 1);
+		end_call_and_conn(c, MH_CALL_UNREADABLE);
 	}
 }
 
 static void
-read_in(struct conn *c)
+read_input(struct conn *c)
 {
 	char buf[READ_SIZE];
 	ssize_t n = recv(c->fd, buf, sizeof(buf), MSG_DONTWAIT);
@@ -432,18 +436,18 @@
 	if (n < 0 && (errno == EAGAIN || errno == EINTR))
 		return;
 	if (c->call == NULL || n < 0) {
-		/* Idle connections say nothing but their end. */
+		/* On an idle connection only its end is expected. */
 		if (n > 0)
-			mh_count(c->all->k, "call_stray_bytes", 1);
-		fail(c);
+			mh_count(c->calls->k, "call_stray_bytes", 1);
+		fail_conn(c);
 		return;
 	}
-	take(c, buf, (size_t)n);
+	take_input(c, buf, (size_t)n);
 }
 
-/* Returns false when the connection failed and was freed. */
+/* Returns false if the connection failed and was freed. */
 static bool
-write_out(struct conn *c)
+write_output(struct conn *c)
 {
 	struct mh_hcall *h = c->call;
 	gsize len;
@@ -456,12 +460,12 @@
 		if (n < 0 && (errno == EAGAIN || errno == EINTR))
 			break;
 		if (n <= 0) {
-			fail(c);
+			fail_conn(c);
 			return false;
 		}
 		h->sent += (size_t)n;
 	}
-	mh_loop_fd(c->all->loop, c->fd, true, h->sent < len, on_io, c);
+	mh_loop_fd(c->calls->loop, c->fd, true, h->sent < len, on_io, c);
 	return true;
 }
 
@@ -476,7 +480,7 @@
 
 		getsockopt(c->fd, SOL_SOCKET, SO_ERROR, &err, &n);
 		if (err != 0) {
-			fail(c);
+			fail_conn(c);
 			return;
 		}
 		if (!writable)
@@ -485,10 +489,10 @@
 		set_timer(c, 0);
 	}
 	if (c->call != NULL &&
-	    c->call->sent < g_bytes_get_size(c->call->text) && !write_out(c))
+	    c->call->sent < g_bytes_get_size(c->call->text) && !write_output(c))
 		return;
 	if (readable)
-		read_in(c);
+		read_input(c);
 }
 
 /* connections */
@@ -502,36 +506,37 @@
 	for (guint i = 0; list != NULL && i < list->len; i++) {
 		struct conn *c = g_ptr_array_index(list, i);
 
-		if (c->call == NULL && c->connected && !c->lost &&
+		if (c->call == NULL && c->connected && !c->free_pending &&
 		    strcmp(c->addr, addr) == 0 &&
-		    (best == NULL || c->idle_at_us > best->idle_at_us))
+		    (best == NULL || c->idle_since_us > best->idle_since_us))
 			best = c;
 	}
 	return best;
 }
 
 /*
- * Bytes that came before our request belong to none of ours, and a call on a
- * connection that has ended would break.  The loop may not have told of either.
+ * Whether an idle connection is open and has no unexpected input, which would
+ * be taken for the next response.  Checks the socket, as the loop may not have
+ * reported either yet.
  */
 static bool
-is_quiet(struct conn *c)
+is_usable(struct conn *c)
 {
 	char byte;
 	ssize_t n = recv(c->fd, &byte, 1, MSG_PEEK | MSG_DONTWAIT);
 
 	if (n > 0)
-		mh_count(c->all->k, "call_stray_bytes", 1);
+		mh_count(c->calls->k, "call_stray_bytes", 1);
 	return n < 0 && (errno == EAGAIN || errno == EINTR);
 }
 
-/* A connection that can be used again; those that can't are closed. */
+/* Returns an idle connection or NULL; closes the unusable ones it finds. */
 static struct conn *
-kept_conn(struct mh_hcalls *a, const char *addr, const char *peer)
+reusable_conn(struct mh_hcalls *a, const char *addr, const char *peer)
 {
 	struct conn *c;
 
-	while ((c = idle_conn(a, addr, peer)) != NULL && !is_quiet(c))
+	while ((c = idle_conn(a, addr, peer)) != NULL && !is_usable(c))
 		free_conn(c);
 	return c;
 }
@@ -562,7 +567,7 @@
 }
 
 static struct conn *
-new_conn(struct mh_hcalls *a, const char *addr, const char *peer)
+open_conn(struct mh_hcalls *a, const char *addr, const char *peer)
 {
 	struct conn *c;
 	GPtrArray *list;
@@ -571,7 +576,7 @@
 	if (fd < 0)
 		return NULL;
 	c = g_new0(struct conn, 1);
-	c->all = a;
+	c->calls = a;
 	c->fd = fd;
 	c->addr = g_strdup(addr);
 	c->peer = g_strdup(peer);
@@ -612,12 +617,12 @@
 	h->fns = args->fns;
 	h->arg = args->arg;
 	if (!args->fresh)
-		c = kept_conn(a, args->addr, args->peer);
+		c = reusable_conn(a, args->addr, args->peer);
 	if (c == NULL)
-		c = new_conn(a, args->addr, args->peer);
+		c = open_conn(a, args->addr, args->peer);
 	if (c == NULL) {
-		/* Out of descriptors, or a bad address; told from the loop so
-		 * that the caller holds the call before it ends. */
+		/* No file descriptor, or a bad address.  Reported from the
+		 * loop, so that the caller has @h before done() is called. */
 		mh_count(a->k, "call_no_socket", 1);
 		mh_timer_start(a->k, 0, on_unsent, h);
 		return h;
@@ -639,8 +644,8 @@
 		h->aborted = true;
 		return;
 	}
-	if (c->parsing) { /* take() frees both */
-		c->lost = true;
+	if (c->parsing) { /* take_input() frees both */
+		c->free_pending = true;
 		return;
 	}
 	c->call = NULL;
@@ -701,7 +706,7 @@
 		if (c->call == NULL)
 			g_ptr_array_add(idle, c);
 		else
-			c->spent = true;
+			c->no_reuse = true;
 	}
 	for (guint i = 0; i < idle->len; i++)
 		free_conn(g_ptr_array_index(idle, i));
--- a/lib/headers.c
+++ b/lib/headers.c
@@ -1,5 +1,5 @@
 /**
- * DOC: A list of HTTP header fields in the order they were received.
+ * DOC: A list of HTTP header fields in the order of receipt.
  */
 
 #include "gate.h"
@@ -8,7 +8,7 @@
 
 struct mh_headers {
 	GArray *fields; /* struct field */
-	GHashTable *listed; /* set of names in Connection fields, lower case */
+	GHashTable *conn_options; /* names in Connection fields, lower case */
 };
 
 struct field {
@@ -32,7 +32,7 @@
 
 	h->fields = g_array_new(FALSE, FALSE, sizeof(struct field));
 	g_array_set_clear_func(h->fields, clear_field);
-	h->listed =
+	h->conn_options =
 	    g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
 	return h;
 }
@@ -43,13 +43,13 @@
 	if (h == NULL)
 		return;
 	g_array_free(h->fields, TRUE);
-	g_hash_table_destroy(h->listed);
+	g_hash_table_destroy(h->conn_options);
 	g_free(h);
 }
 
-/* Notes the names of a comma-separated list. */
+/* Adds the names of a comma-separated Connection field. */
 static void
-note_listed(struct mh_headers *h, const char *list)
+add_conn_options(struct mh_headers *h, const char *list)
 {
 	while (*list != '\0') {
 		size_t len;
@@ -57,8 +57,8 @@
 		list += strspn(list, " \t,");
 		len = strcspn(list, " \t,;");
 		if (len > 0)
-			g_hash_table_add(
-			    h->listed, g_ascii_strdown(list, (gssize)len));
+			g_hash_table_add(h->conn_options,
+			    g_ascii_strdown(list, (gssize)len));
 		list += strcspn(list, ",");
 	}
 }
@@ -76,11 +76,11 @@
 
 	g_array_append_val(h->fields, f);
 	if (g_ascii_strcasecmp(name, "Connection") == 0)
-		note_listed(h, value);
+		add_conn_options(h, value);
 }
 
 static struct field *
-at(const struct mh_headers *h, uint32_t i)
+field_at(const struct mh_headers *h, uint32_t i)
 {
 	return &g_array_index(h->fields, struct field, i);
 }
@@ -89,8 +89,8 @@
 mh_headers_get(const struct mh_headers *h, const char *name)
 {
 	for (uint32_t i = 0; i < h->fields->len; i++) {
-		if (g_ascii_strcasecmp(at(h, i)->name, name) == 0)
-			return at(h, i)->value;
+		if (g_ascii_strcasecmp(field_at(h, i)->name, name) == 0)
+			return field_at(h, i)->value;
 	}
 	return NULL;
 }
@@ -101,7 +101,7 @@
 	uint32_t n = 0;
 
 	for (uint32_t i = 0; i < h->fields->len; i++)
-		n += g_ascii_strcasecmp(at(h, i)->name, name) == 0;
+		n += g_ascii_strcasecmp(field_at(h, i)->name, name) == 0;
 	return n;
 }
 
@@ -109,7 +109,7 @@
 mh_headers_each(const struct mh_headers *h, mh_header_fn fn, void *arg)
 {
 	for (uint32_t i = 0; i < h->fields->len; i++)
-		fn(arg, at(h, i)->name, at(h, i)->value);
+		fn(arg, field_at(h, i)->name, field_at(h, i)->value);
 }
 
 bool
@@ -127,10 +127,10 @@
 		if (g_ascii_strcasecmp(hop[i], name) == 0)
 			return true;
 	}
-	if (g_hash_table_size(h->listed) == 0)
+	if (g_hash_table_size(h->conn_options) == 0)
 		return false;
 	lower = g_ascii_strdown(name, -1);
-	listed = g_hash_table_contains(h->listed, lower);
+	listed = g_hash_table_contains(h->conn_options, lower);
 	g_free(lower);
 	return listed;
 }
--- a/lib/hreq.c
+++ b/lib/hreq.c
@@ -1,9 +1,9 @@
 /**
- * DOC: One request: read from bytes, answered in bytes.
+ * DOC: Parses one HTTP request and frames its response.
  *
- * http_parser reads it and what it leaves open is checked here, so that a
- * request is passed on unchanged or refused.  Nothing here knows a socket:
- * hserve.c brings the bytes of the request and sends those of the answer.
+ * http_parser does the parsing; this file adds the checks that it omits, so
+ * that a request is either passed on unchanged or refused.  Works on buffers
+ * only: hserve.c does the socket I/O.
  */
 
 #include "hreqint.h"
@@ -48,7 +48,7 @@
 {
 	struct mh_hreq *r = p->data;
 
-	r->began = true;
+	r->started = true;
 	return 0;
 }
 
@@ -70,7 +70,7 @@
 	if (!mh_header_name_ok(r->name->str) ||
 	    !mh_header_value_ok(r->value->str) ||
 	    strlen(r->value->str) != r->value->len)
-		r->refuse = 400;
+		r->refuse_status = 400;
 	mh_headers_add(r->headers, r->name->str, r->value->str);
 	g_string_truncate(r->name, 0);
 	g_string_truncate(r->value, 0);
@@ -81,7 +81,7 @@
 {
 	struct mh_hreq *r = p->data;
 
-	if (r->method != NULL) /* a trailer after the last chunk */
+	if (r->method != NULL) /* trailer field after the last chunk */
 		return 0;
 	if (r->in_value)
 		end_field(r);
@@ -107,7 +107,7 @@
 static int
 on_headers(http_parser *p)
 {
-	static const char go_on[] = "HTTP/1.1 100 Continue\r\n\r\n";
+	static const char continue_line[] = "HTTP/1.1 100 Continue\r\n\r\n";
 	struct mh_hreq *r = p->data;
 	const struct mh_hlimits *l = r->limits;
 
@@ -120,18 +120,18 @@
 	    mh_headers_count(r->headers, "Content-Length") > 1 ||
 	    !mh_headers_coding_ok(r->headers) ||
 	    (r->http10 && (p->flags & F_CHUNKED)))
-		r->refuse = 400;
+		r->refuse_status = 400;
 	if (r->header_bytes > l->header_bytes)
-		r->refuse = 431;
-	if (r->refuse == 0 && p->content_length != UINT64_MAX &&
+		r->refuse_status = 431;
+	if (r->refuse_status == 0 && p->content_length != UINT64_MAX &&
 	    p->content_length > l->body_bytes)
-		r->refuse = 413;
-	if (r->refuse != 0)
+		r->refuse_status = 413;
+	if (r->refuse_status != 0)
 		return -1;
-	/* HTTP/1.0 knows no interim answer and would take it for the last. */
+	/* An HTTP/1.0 client would take an interim response as final. */
 	if (!r->http10 && mh_headers_get(r->headers, "Expect") != NULL)
-		g_byte_array_append(
-		    r->out, (const uint8_t *)go_on, sizeof(go_on) - 1);
+		g_byte_array_append(r->out, (const uint8_t *)continue_line,
+		    sizeof(continue_line) - 1);
 	return 0;
 }
 
@@ -141,11 +141,11 @@
 	bool chunked = (p->flags & F_CHUNKED) != 0;
 	struct mh_hreq *r = p->data;
 
-	if (!mh_line_ends_upto(&r->lines, at, chunked))
+	if (!mh_line_ends_check(&r->lines, at, chunked))
 		return -1;
 	mh_line_ends_body(&r->lines, at + n, chunked);
 	if (r->body->len + n > r->limits->body_bytes) {
-		r->refuse = 413;
+		r->refuse_status = 413;
 		return -1;
 	}
 	g_byte_array_append(r->body, (const uint8_t *)at, (guint)n);
@@ -171,34 +171,34 @@
 mh_hreq_read(struct mh_hreq *r, GByteArray *in)
 {
 	const char *data = (const char *)in->data;
-	bool sound;
+	bool lines_ok;
 	size_t n;
 
 	mh_line_ends_feed(&r->lines, data);
 	n = http_parser_execute(&r->parser, &callbacks, data, in->len);
-	sound = mh_line_ends_upto(
+	lines_ok = mh_line_ends_check(
 	    &r->lines, data + n, (r->parser.flags & F_CHUNKED) != 0);
 	if (HTTP_PARSER_ERRNO(&r->parser) == HPE_PAUSED) {
-		if (!sound)
+		if (!lines_ok)
 			return MH_HREAD_BAD;
 		g_byte_array_remove_range(in, 0, (guint)n);
-		return r->refuse != 0 ? MH_HREAD_BAD : MH_HREAD_WHOLE;
+		return r->refuse_status != 0 ? MH_HREAD_BAD : MH_HREAD_COMPLETE;
 	}
 	if (HTTP_PARSER_ERRNO(&r->parser) != HPE_OK || r->parser.upgrade ||
-	    !sound)
+	    !lines_ok)
 		return MH_HREAD_BAD;
 	g_byte_array_set_size(in, 0);
 	if (r->method == NULL && r->header_bytes > r->limits->header_bytes) {
-		r->refuse = 431;
+		r->refuse_status = 431;
 		return MH_HREAD_BAD;
 	}
 	return MH_HREAD_MORE;
 }
 
-/* answers */
+/* responses */
 
 static const char *
-reason(uint32_t status)
+reason_phrase(uint32_t status)
 {
 	switch (status) {
 #define XX(num, name, string) \
@@ -241,11 +241,11 @@
 {
 	GString *g = g_string_sized_new(512);
 
-	g_string_printf(g, "HTTP/1.1 %u %s\r\n", status, reason(status));
+	g_string_printf(g, "HTTP/1.1 %u %s\r\n", status, reason_phrase(status));
 	if (headers != NULL)
 		mh_headers_each(headers, add_field, g);
 	r->bodyless = is_bodyless(r, status);
-	r->left = r->bodyless ? -1 : length;
+	r->remaining_bytes = r->bodyless ? -1 : length;
 	if (length >= 0 && status_has_body(status)) {
 		g_string_append_printf(
 		    g, "Content-Length: %" PRId64 "\r\n", length);
@@ -267,11 +267,11 @@
 
 	if (len == 0 || r->bodyless)
 		return;
-	if (r->left >= 0) {
-		r->over = r->over || (int64_t)len > r->left;
-		if (r->over)
+	if (r->remaining_bytes >= 0) {
+		r->overrun = r->overrun || (int64_t)len > r->remaining_bytes;
+		if (r->overrun)
 			return;
-		r->left -= (int64_t)len;
+		r->remaining_bytes -= (int64_t)len;
 	}
 	if (r->chunked) {
 		g_snprintf(size, sizeof(size), "%zx\r\n", len);
@@ -288,10 +288,10 @@
 {
 	if (r->chunked)
 		g_byte_array_append(r->out, (const uint8_t *)"0\r\n\r\n", 5);
-	return r->left <= 0 && !r->over;
+	return r->remaining_bytes <= 0 && !r->overrun;
 }
 
-/* what the gate asks of it */
+/* accessors */
 
 const char *
 mh_hreq_method(const struct mh_hreq *r)
--- a/lib/hserve.c
+++ b/lib/hserve.c
@@ -1,11 +1,11 @@
 /**
  * DOC: HTTP/1.1 server that keeps requests byte for byte.
  *
- * libmicrohttpd decodes paths and answers bad requests in its own way; here
- * a request is passed on unchanged or refused.  This file has the connections
- * and moves the bytes; hreq.c reads requests and frames answers.  A request
- * is handed over when its body is whole; one connection has one request at a
- * time.
+ * libmicrohttpd decodes paths and answers bad requests by itself; here a
+ * request is either passed on unchanged or refused.  This file manages the
+ * connections and their I/O; hreq.c parses requests and frames responses.  A
+ * request is delivered once its body is complete; each connection has one
+ * request at a time.
  */
 
 #include "hreqint.h"
@@ -20,40 +20,44 @@
 #include <unistd.h>
 
 #define READ_SIZE 32768
-/* Bytes of further requests kept while one is answered. */
-#define MAX_AHEAD (256U << 10)
-/* A caller that does not read its answer is dropped at this many bytes. */
-#define MAX_OUT (8U << 20)
+/* Reading pauses while this many input bytes wait to be parsed. */
+#define MAX_IN_BYTES (256U << 10)
 /*
- * After the last byte of an answer that closes the connection the caller's
- * bytes are still read for this long, and again while the kernel has bytes
- * of the answer: closing with unread bytes would reset the connection and
- * lose them.
+ * A caller that reads too slowly is disconnected when an unfinished response
+ * has this many unsent bytes.
+ */
+#define MAX_OUT_BYTES (8U << 20)
+/*
+ * After the last response on a connection, input is still read and discarded
+ * for this long, and longer while the kernel has unacknowledged bytes of the
+ * response: a close with unread input would reset the connection, and the
+ * kernel would drop those bytes.
  */
 #define LINGER_US (1 * MH_US_PER_S)
 /*
- * A caller has this long to take an answer that is whole.  Twice the time of
- * MAX_OUT over the narrowest link we serve, 10 Mbit/s.
+ * Time to send a complete response to its caller: twice what MAX_OUT_BYTES
+ * take over the slowest supported link, 10 Mbit/s.
  */
-#define DELIVER_US (14 * MH_US_PER_S)
-/* Reads at a connection's end, so that one which goes on sending can't hold
- * us: MAX_AHEAD in all. */
-#define LAST_READS (MAX_AHEAD / READ_SIZE)
-/* Without a free file descriptor the next accept is tried after this. */
-#define ACCEPT_AGAIN_US (100 * MH_US_PER_MS)
+#define SEND_TIMEOUT_US (14 * MH_US_PER_S)
+/* Bounds the final discarding of input, MAX_IN_BYTES in all, so that a caller
+ * that keeps sending cannot block the server. */
+#define MAX_DISCARD_READS (MAX_IN_BYTES / READ_SIZE)
+/* Delay before the next accept when no file descriptor is free. */
+#define ACCEPT_RETRY_US (100 * MH_US_PER_MS)
 /*
- * A silent peer is noticed within this time while a stream is made for it.
- * The kernel counts a shut window as silence, so an answer that is whole,
- * and for which nobody works any more, has DELIVER_US instead.
+ * A peer that has vanished is detected within this time while a response of
+ * unknown length is produced for it.  The kernel counts a zero window as
+ * silence too, so for a complete response, which costs no more work,
+ * SEND_TIMEOUT_US applies instead.
  */
 #define USER_TIMEOUT_MS 4000
 
 enum conn_state {
-	CONN_READING, /* between requests, or in the middle of one */
-	CONN_ANSWERING, /* the request is with the gate */
-	CONN_SENDING, /* the answer is whole; its bytes are leaving */
-	CONN_BROKEN, /* the answer broke; to be reset */
-	CONN_LINGER /* answered and not to be used again; reading to the end */
+	CONN_READING, /* idle, or a request is partly received */
+	CONN_ANSWERING, /* the request was delivered */
+	CONN_SENDING, /* the response is complete, its bytes are being sent */
+	CONN_RESETTING, /* the response was aborted; to be reset */
+	CONN_LINGER /* shut down for writing; discards input until closed */
 };
 
 struct conn {
@@ -61,10 +65,10 @@
 	int fd;
 	enum conn_state state;
 	bool close_after;
-	bool shut; /* the caller sends no more; found while sending */
-	int64_t deliver_by_us;
+	bool peer_eof; /* the caller sent FIN, seen while sending */
+	int64_t send_deadline_us;
 	struct mh_hreq *req;
-	GByteArray *ahead;
+	GByteArray *in;
 	GByteArray *out;
 	struct mh_timer *timer;
 };
@@ -82,8 +86,8 @@
 };
 
 static void on_io(void *arg, bool readable, bool writable);
-static void process(struct conn *c);
-static void end_idle(struct conn *c);
+static void process_input(struct conn *c);
+static void close_if_idle(struct conn *c);
 
 static void
 free_conn(struct conn *c)
@@ -92,23 +96,23 @@
 	mh_loop_fd_close(c->s->loop, c->fd);
 	close(c->fd);
 	mh_hreq_destroy(c->req);
-	g_byte_array_unref(c->ahead);
+	g_byte_array_unref(c->in);
 	g_byte_array_unref(c->out);
 	g_hash_table_remove(c->s->conns, c);
 	g_free(c);
 }
 
 static void
-set_hard_end(struct conn *c, bool hard)
+set_reset_on_close(struct conn *c, bool on)
 {
-	struct linger l = { hard, 0 };
+	struct linger l = { on, 0 };
 
 	setsockopt(c->fd, SOL_SOCKET, SO_LINGER, &l, sizeof(l));
 }
 
-/* The caller is gone: the gate is told first, as it holds the request. */
+/* The caller disconnected: reports a delivered request, then frees @c. */
 static void
-lose(struct conn *c)
+abandon_conn(struct conn *c)
 {
 	if (c->state == CONN_ANSWERING && c->req != NULL) {
 		struct mh_hreq *r = c->req;
@@ -136,19 +140,19 @@
 }
 
 static void
-want_io(struct conn *c)
+update_io(struct conn *c)
 {
-	bool full = c->ahead->len >= MAX_AHEAD;
-	/* A shut side stays readable, and the loop would turn for nothing. */
-	bool ended = c->shut && c->state == CONN_SENDING;
+	bool full = c->in->len >= MAX_IN_BYTES;
+	/* A socket at end of file stays readable: the loop would spin. */
+	bool ended = c->peer_eof && c->state == CONN_SENDING;
 
 	mh_loop_fd(
 	    c->s->loop, c->fd, !full && !ended, c->out->len > 0, on_io, c);
 }
 
-/* Returns false when the connection has failed. */
+/* Returns false if the connection failed. */
 static bool
-send_out(struct conn *c)
+send_output(struct conn *c)
 {
 	uint32_t off = 0;
 
@@ -169,23 +173,24 @@
 
 /* Returns false when the connection was lost and freed. */
 static bool
-flush_out(struct conn *c)
+flush_output(struct conn *c)
 {
-	if (!send_out(c)) {
-		lose(c);
+	if (!send_output(c)) {
+		abandon_conn(c);
 		return false;
 	}
-	/* A whole answer is bounded by its maker, and by DELIVER_US. */
-	if (c->state == CONN_ANSWERING && c->out->len > MAX_OUT) {
+	/* The size of a complete response is bounded by its producer, and its
+	 * duration by SEND_TIMEOUT_US. */
+	if (c->state == CONN_ANSWERING && c->out->len > MAX_OUT_BYTES) {
 		mh_count(c->s->k, "serve_slow_callers", 1);
-		lose(c);
+		abandon_conn(c);
 		return false;
 	}
-	want_io(c);
+	update_io(c);
 	return true;
 }
 
-/* answers */
+/* responses */
 
 void
 mh_hreq_head(struct mh_hreq *r, uint32_t status,
@@ -195,18 +200,19 @@
 	bool unframed = !mh_hreq_framed(r, status, length);
 
 	/*
-	 * Half of an answer without a frame would look whole to the caller if
-	 * the connection were closed in order, as the kernel does where the
-	 * process dies.  A reset tells them apart.
+	 * The end of such a response is marked by an orderly close alone, and
+	 * the kernel does an orderly close too when the process dies.  With
+	 * a zero linger time it resets the connection instead, so that the
+	 * caller does not take a truncated response as complete.
 	 */
 	if (unframed)
-		set_hard_end(c, true);
+		set_reset_on_close(c, true);
 	if (length < 0)
 		set_user_timeout(c->fd, USER_TIMEOUT_MS);
 	if (unframed || !r->keep_alive || c->s->draining)
 		c->close_after = true;
 	mh_hreq_put_head(r, status, headers, length, c->close_after);
-	want_io(c);
+	update_io(c);
 }
 
 void
@@ -215,7 +221,7 @@
 	if (len == 0)
 		return;
 	mh_hreq_put(r, data, len);
-	want_io(r->c);
+	update_io(r->c);
 }
 
 static void
@@ -231,44 +237,44 @@
 start_linger(struct conn *c)
 {
 	c->state = CONN_LINGER;
-	set_hard_end(c, false);
+	set_reset_on_close(c, false);
 	set_timer(c, LINGER_US);
 	shutdown(c->fd, SHUT_WR);
-	want_io(c);
+	update_io(c);
 }
 
-/* The answer's last byte is with the kernel. */
+/* The kernel has accepted the last byte of the response. */
 static void
-on_sent(struct conn *c)
+on_response_sent(struct conn *c)
 {
 	if (c->close_after) {
 		start_linger(c);
 		return;
 	}
 	start_reading(c);
-	process(c);
-	/* Reading had stopped if the bytes that came early were many. */
-	want_io(c);
+	process_input(c);
+	/* Resumes reading if it was paused at MAX_IN_BYTES. */
+	update_io(c);
 	if (c->s->finishing)
-		end_idle(c);
+		close_if_idle(c);
 }
 
 /*
- * Runs from the loop, not from the gate's call: the gate may still be in the
- * middle of its own work on this request.
+ * Called from the loop and not from mh_hreq_end(), whose caller may still be
+ * working on the request.
  */
 static void
-after_answer(void *arg)
+start_sending(void *arg)
 {
 	struct conn *c = arg;
 
 	c->timer = NULL;
-	if (!flush_out(c))
+	if (!flush_output(c))
 		return;
 	if (c->out->len == 0)
-		on_sent(c);
+		on_response_sent(c);
 	else
-		set_timer(c, DELIVER_US);
+		set_timer(c, SEND_TIMEOUT_US);
 }
 
 void
@@ -276,8 +282,7 @@
 {
 	struct conn *c = r->c;
 
-	/* Ended in order it would take bytes of the next answer, or give some.
-	 */
+	/* With a wrong length the caller would misparse the next response. */
 	if (!mh_hreq_put_end(r)) {
 		mh_count(c->s->k, "serve_length_faults", 1);
 		mh_hreq_break(r);
@@ -285,25 +290,26 @@
 	}
 	c->req = NULL;
 	c->state = CONN_SENDING;
-	c->deliver_by_us = mh_now(c->s->k) + DELIVER_US;
-	set_user_timeout(c->fd, DELIVER_US / MH_US_PER_MS);
-	/* What lies behind the last request is not answered, and must not
-	 * stop reading: unread bytes would make the close a reset. */
+	c->send_deadline_us = mh_now(c->s->k) + SEND_TIMEOUT_US;
+	set_user_timeout(c->fd, SEND_TIMEOUT_US / MH_US_PER_MS);
+	/* Input after the last request is not answered.  It must not pause
+	 * reading either: a close with unread input resets the connection. */
 	if (c->close_after)
-		g_byte_array_set_size(c->ahead, 0);
+		g_byte_array_set_size(c->in, 0);
 	mh_hreq_destroy(r);
 	mh_timer_stop(c->s->k, &c->timer);
-	c->timer = mh_timer_start(c->s->k, 0, after_answer, c);
+	c->timer = mh_timer_start(c->s->k, 0, start_sending, c);
 }
 
 static void
-reset(void *arg)
+reset_conn(void *arg)
 {
 	struct conn *c = arg;
 
 	c->timer = NULL;
-	/* A reset drops what has not left; its caller goes on behind that. */
-	(void)send_out(c);
+	/* The reset drops unsent bytes, and a resumed stream continues after
+	 * what was received, so send as much as the kernel accepts. */
+	(void)send_output(c);
 	free_conn(c);
 }
 
@@ -313,52 +319,52 @@
 	struct conn *c = r->c;
 
 	c->req = NULL;
-	c->state = CONN_BROKEN;
-	set_hard_end(c, true);
+	c->state = CONN_RESETTING;
+	set_reset_on_close(c, true);
 	mh_hreq_destroy(r);
 	mh_timer_stop(c->s->k, &c->timer);
-	c->timer = mh_timer_start(c->s->k, 0, reset, c);
+	c->timer = mh_timer_start(c->s->k, 0, reset_conn, c);
 }
 
 static void
 refuse_bad(struct conn *c)
 {
 	struct mh_hreq *r = c->req;
-	uint32_t status = r->refuse != 0 ? r->refuse : 400;
+	uint32_t status = r->refuse_status != 0 ? r->refuse_status : 400;
 
 	mh_event(c->s->k, "bad-request", "status=%u parser=%s", status,
 	    http_errno_name(HTTP_PARSER_ERRNO(&r->parser)));
 	c->state = CONN_ANSWERING;
 	c->close_after = true;
-	g_byte_array_set_size(c->ahead, 0);
+	g_byte_array_set_size(c->in, 0);
 	mh_hreq_head(r, status, NULL, 0);
 	mh_hreq_end(r);
 }
 
 static void
-hand_over(struct conn *c)
+deliver_request(struct conn *c)
 {
 	set_timer(c, 0);
 	c->state = CONN_ANSWERING;
 	c->s->args.on_request(c->s->args.arg, c->req);
 }
 
-/* Parses what has come until one request is whole. */
+/* Parses buffered input up to the end of one request. */
 static void
-process(struct conn *c)
+process_input(struct conn *c)
 {
-	bool began;
+	bool started;
 
-	if (c->state != CONN_READING || c->ahead->len == 0)
+	if (c->state != CONN_READING || c->in->len == 0)
 		return;
-	began = c->req->began;
-	switch (mh_hreq_read(c->req, c->ahead)) {
+	started = c->req->started;
+	switch (mh_hreq_read(c->req, c->in)) {
 	case MH_HREAD_MORE:
-		if (!began && c->req->began)
+		if (!started && c->req->started)
 			set_timer(c, c->s->args.limits.header_us);
 		return;
-	case MH_HREAD_WHOLE:
-		hand_over(c);
+	case MH_HREAD_COMPLETE:
+		deliver_request(c);
 		return;
 	case MH_HREAD_BAD:
 		refuse_bad(c);
@@ -368,7 +374,7 @@
 
 /* Returns false when the connection was lost and freed. */
 static bool
-read_in(struct conn *c)
+read_input(struct conn *c)
 {
 	uint8_t buf[READ_SIZE];
 	ssize_t n = recv(c->fd, buf, sizeof(buf), MSG_DONTWAIT);
@@ -376,69 +382,69 @@
 	if (n < 0 && (errno == EAGAIN || errno == EINTR))
 		return true;
 	/*
-	 * A caller may shut its side behind its last request and still read;
-	 * taken for one that left, its answer would be cut.  One that did
-	 * leave resets the connection when the next bytes reach it.
+	 * A caller may shut down its sending side after its last request and
+	 * still read the response.  A caller that closed the whole connection
+	 * resets it when further bytes arrive.
 	 */
 	if (n == 0 && c->state == CONN_SENDING) {
-		c->shut = true;
+		c->peer_eof = true;
 		return true;
 	}
 	if (n <= 0) {
-		lose(c);
+		abandon_conn(c);
 		return false;
 	}
 	switch (c->state) {
 	case CONN_READING:
 	case CONN_ANSWERING:
-		g_byte_array_append(c->ahead, buf, (guint)n);
+		g_byte_array_append(c->in, buf, (guint)n);
 		break;
 	case CONN_SENDING:
 		if (!c->close_after)
-			g_byte_array_append(c->ahead, buf, (guint)n);
+			g_byte_array_append(c->in, buf, (guint)n);
 		break;
-	case CONN_BROKEN:
+	case CONN_RESETTING:
 	case CONN_LINGER:
 		break;
 	}
 	return true;
 }
 
-/* Reads what lies in the socket, so that closing it does not reset it. */
+/* Discards received bytes: a close with unread input is a reset. */
 static void
-drop_unread(struct conn *c)
+discard_input(struct conn *c)
 {
 	uint8_t buf[READ_SIZE];
 
-	for (uint32_t i = 0; i < LAST_READS; i++)
+	for (uint32_t i = 0; i < MAX_DISCARD_READS; i++)
 		if (recv(c->fd, buf, sizeof(buf), MSG_DONTWAIT) <= 0)
 			return;
 }
 
 /*
- * Ends a connection that waits for a request, unless one lies in the socket:
- * the caller may have sent it in good time while we were busy, and a close
- * would reset the connection instead of answering.
+ * Closes a connection that waits for a request, unless one is in the socket
+ * buffer: it may have arrived in time while the process was busy, and the close
+ * would reset the connection instead of answering it.
  */
 static void
-end_idle(struct conn *c)
+close_if_idle(struct conn *c)
 {
-	if (c->state != CONN_READING || c->req->began || !read_in(c))
+	if (c->state != CONN_READING || c->req->started || !read_input(c))
 		return;
-	process(c);
-	want_io(c);
-	if (c->state == CONN_READING && !c->req->began)
-		lose(c);
+	process_input(c);
+	update_io(c);
+	if (c->state == CONN_READING && !c->req->started)
+		abandon_conn(c);
 }
 
-/* As end_idle(): what has come is looked at before the time is up. */
+/* Answers 408 unless the rest of the request is in the socket buffer. */
 static void
-end_header(struct conn *c)
+time_out_request(struct conn *c)
 {
-	if (!read_in(c))
+	if (!read_input(c))
 		return;
-	process(c);
-	want_io(c);
+	process_input(c);
+	update_io(c);
 	if (c->state != CONN_READING)
 		return;
 	mh_count(c->s->k, "serve_header_timeouts", 1);
@@ -449,9 +455,9 @@
 	mh_hreq_end(c->req);
 }
 
-/* Bytes of the answer that the caller has not confirmed yet. */
+/* Whether the peer has yet to acknowledge bytes of the response. */
 static bool
-unconfirmed(const struct conn *c)
+has_unacked(const struct conn *c)
 {
 	int n = 0;
 
@@ -466,25 +472,25 @@
 	c->timer = NULL;
 	switch (c->state) {
 	case CONN_READING:
-		if (c->req->began)
-			end_header(c);
+		if (c->req->started)
+			time_out_request(c);
 		else
-			end_idle(c);
+			close_if_idle(c);
 		return;
 	case CONN_SENDING:
 		mh_count(c->s->k, "serve_slow_callers", 1);
-		lose(c);
+		abandon_conn(c);
 		return;
 	case CONN_LINGER:
-		if (unconfirmed(c) && mh_now(c->s->k) < c->deliver_by_us) {
+		if (has_unacked(c) && mh_now(c->s->k) < c->send_deadline_us) {
 			set_timer(c, LINGER_US);
 			return;
 		}
-		drop_unread(c);
+		discard_input(c);
 		free_conn(c);
 		return;
 	case CONN_ANSWERING:
-	case CONN_BROKEN:
+	case CONN_RESETTING:
 		return;
 	}
 }
@@ -495,23 +501,23 @@
 	struct conn *c = arg;
 
 	(void)writable;
-	if (c->state == CONN_BROKEN)
+	if (c->state == CONN_RESETTING)
 		return;
 	if (readable) {
-		if (!read_in(c))
+		if (!read_input(c))
 			return;
-		process(c);
+		process_input(c);
 	}
-	if (!flush_out(c))
+	if (!flush_output(c))
 		return;
 	if (c->state == CONN_SENDING && c->out->len == 0)
-		on_sent(c);
+		on_response_sent(c);
 }
 
 static void on_accept(void *arg, bool readable, bool writable);
 
 static void
-on_accept_again(void *arg)
+resume_accept(void *arg)
 {
 	struct mh_hserve *s = arg;
 
@@ -520,8 +526,8 @@
 }
 
 /*
- * Connections that wait keep the socket readable, and without a pause the
- * loop would turn at full speed until some file is closed.
+ * Pending connections keep the listening socket readable; without a pause the
+ * loop would spin until a file descriptor is closed.
  */
 static void
 pause_accept(struct mh_hserve *s)
@@ -530,7 +536,7 @@
 	mh_loop_fd(s->loop, s->fd, false, false, on_accept, s);
 	mh_timer_stop(s->k, &s->accept_timer);
 	s->accept_timer =
-	    mh_timer_start(s->k, ACCEPT_AGAIN_US, on_accept_again, s);
+	    mh_timer_start(s->k, ACCEPT_RETRY_US, resume_accept, s);
 }
 
 static void
@@ -553,15 +559,15 @@
 			return;
 		}
 		setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof(on));
-		set_user_timeout(fd, DELIVER_US / MH_US_PER_MS);
+		set_user_timeout(fd, SEND_TIMEOUT_US / MH_US_PER_MS);
 		c = g_new0(struct conn, 1);
 		c->s = s;
 		c->fd = fd;
-		c->ahead = g_byte_array_new();
+		c->in = g_byte_array_new();
 		c->out = g_byte_array_new();
 		g_hash_table_add(s->conns, c);
 		start_reading(c);
-		want_io(c);
+		update_io(c);
 	}
 }
 
@@ -585,7 +591,7 @@
 	return s;
 }
 
-/* Callers that get no whole answer since the server ends now. */
+/* Logs how many callers get no complete response as the server stops. */
 static void
 log_cut(struct mh_hserve *s)
 {
@@ -599,7 +605,7 @@
 
 		unanswered += c->state == CONN_ANSWERING;
 		unsent += c->out->len > 0;
-		half_read += c->state == CONN_READING && c->req->began;
+		half_read += c->state == CONN_READING && c->req->started;
 	}
 	if (unanswered + unsent + half_read > 0)
 		mh_event(s->k, "callers-cut",
@@ -607,14 +613,14 @@
 		    half_read);
 }
 
-/* An answer that is whole is sent as far as the kernel takes it at once. */
+/* Sends a complete response, as far as the kernel accepts it without delay. */
 static void
-last_bytes(struct conn *c)
+send_last_bytes(struct conn *c)
 {
-	if (c->state != CONN_SENDING || !send_out(c) || c->out->len > 0)
+	if (c->state != CONN_SENDING || !send_output(c) || c->out->len > 0)
 		return;
 	c->state = CONN_LINGER;
-	set_hard_end(c, false);
+	set_reset_on_close(c, false);
 }
 
 static void
@@ -637,13 +643,13 @@
 		return;
 	all = g_hash_table_get_keys(s->conns);
 	for (GList *n = all; n != NULL; n = n->next)
-		last_bytes(n->data);
+		send_last_bytes(n->data);
 	log_cut(s);
 	for (GList *n = all; n != NULL; n = n->next) {
 		struct conn *c = n->data;
 
 		if (c->state == CONN_LINGER)
-			drop_unread(c);
+			discard_input(c);
 		free_conn(c);
 	}
 	g_list_free(all);
@@ -682,7 +688,7 @@
 	stop_accepting(s);
 	all = g_hash_table_get_keys(s->conns);
 	for (GList *n = all; n != NULL; n = n->next)
-		end_idle(n->data);
+		close_if_idle(n->data);
 	g_list_free(all);
 }
 
@@ -699,13 +705,13 @@
 
 		switch (c->state) {
 		case CONN_READING:
-			n += c->req->began;
+			n += c->req->started;
 			break;
 		case CONN_ANSWERING:
 		case CONN_SENDING:
 			n++;
 			break;
-		case CONN_BROKEN:
+		case CONN_RESETTING:
 		case CONN_LINGER:
 			break;
 		}
--- a/lib/lineends.c
+++ b/lib/lineends.c
@@ -1,11 +1,10 @@
 /**
- * DOC: Line ends of a message.
+ * DOC: Checks the line ends of an HTTP message.
  *
- * http_parser skips the byte behind a carriage return, and both bytes behind
- * a chunk, without a look at them.  A chunk that is longer than its size would
- * pass with its first bytes alone.  It joins a value to the rest of it in the
- * next line, by which readers differ.  So they do by a line feed alone, which
- * it passes in a chunk's extension.
+ * http_parser skips the byte after a CR, and both bytes after a chunk, without
+ * a check, so it would accept a chunk longer than its size and truncate it.
+ * It also joins the lines of a folded field value, and accepts a bare LF in a
+ * chunk extension.  Parsers differ in both, which permits request smuggling.
  */
 
 #include "opaque.h"
@@ -17,7 +16,7 @@
 }
 
 static bool
-take_byte(struct mh_line_ends *l, char byte)
+check_byte(struct mh_line_ends *l, char byte)
 {
 	if (l->after_chunk && byte != '\r')
 		return false;
@@ -25,7 +24,7 @@
 		return false;
 	if (l->after_lf && (byte == ' ' || byte == '\t'))
 		return false;
-	l->bare = l->bare || (byte == '\n' && !l->after_cr);
+	l->bare_lf = l->bare_lf || (byte == '\n' && !l->after_cr);
 	l->after_chunk = false;
 	l->after_cr = byte == '\r';
 	l->after_lf = byte == '\n';
@@ -33,13 +32,13 @@
 }
 
 bool
-mh_line_ends_upto(struct mh_line_ends *l, const char *at, bool chunked)
+mh_line_ends_check(struct mh_line_ends *l, const char *at, bool chunked)
 {
 	while (l->next < at) {
-		if (!take_byte(l, *l->next++))
+		if (!check_byte(l, *l->next++))
 			return false;
 	}
-	return !chunked || !l->bare;
+	return !chunked || !l->bare_lf;
 }
 
 void
--- a/lib/marlhoist.h
+++ b/lib/marlhoist.h
@@ -49,7 +49,7 @@
 /* addr.c */
 
 #define MH_HOST_LEN 16
-/** mh_addr_parse() - splits IP:PORT; port 0 is allowed. */
+/** mh_addr_parse() - splits IPv4:PORT; false if malformed.  Port 0 is valid. */
 bool mh_addr_parse(const char *addr, char host[MH_HOST_LEN], uint16_t *port);
 
 /* kern.c */
--- a/lib/opaque.h
+++ b/lib/opaque.h
@@ -2,8 +2,9 @@
 #define OPAQUE_H
 
 /*
- * HTTP requests and answers byte for byte: header fields, a server, and a
- * client that sends a request once.  Nothing here decides anything.
+ * HTTP requests and responses, passed on byte for byte: header fields, a
+ * server, and a client that sends a request at most once.  Routing and retry
+ * decisions are made elsewhere.
  */
 
 #include "marlhoist.h"
@@ -15,44 +16,56 @@
 
 struct mh_headers *mh_headers_create(void);
 void mh_headers_destroy(struct mh_headers *h);
-/** mh_headers_add() - white space behind a value is none of it. */
+/** mh_headers_add() - appends a field; trims white space after the value. */
 void mh_headers_add(struct mh_headers *h, const char *name, const char *value);
-/** mh_headers_get() - the first field of that name, any case, or NULL. */
+/** mh_headers_get() - value of the first such field, any case, or NULL. */
 const char *mh_headers_get(const struct mh_headers *h, const char *name);
 uint32_t mh_headers_count(const struct mh_headers *h, const char *name);
 void mh_headers_each(const struct mh_headers *h, mh_header_fn fn, void *arg);
-/** mh_header_is_hop() - a field that concerns one connection only. */
+/**
+ * mh_header_is_hop() - whether a field is hop-by-hop, so not passed on.
+ *
+ * Includes the names in the Connection fields of @h, and Content-Length and
+ * Expect, which each hop handles itself.
+ */
 bool mh_header_is_hop(const struct mh_headers *h, const char *name);
-/** mh_headers_coding_ok() - no transfer coding, or chunks alone. */
+/** mh_headers_coding_ok() - no transfer coding, or "chunked" alone. */
 bool mh_headers_coding_ok(const struct mh_headers *h);
-/** mh_header_name_ok() - an RFC 9110 token. */
+/** mh_header_name_ok() - whether it is an RFC 9110 token. */
 bool mh_header_name_ok(const char *name);
 bool mh_header_value_ok(const char *value);
 
 /* lineends.c */
 
-/** struct mh_line_ends - where the check of a message's lines stands. */
+/** struct mh_line_ends - state of the line end checks of one message. */
 struct mh_line_ends {
-	const char *next; /* first byte not looked at, in the bytes fed */
-	bool after_cr;
+	const char *next; /* first unchecked byte of the data fed */
+	bool after_cr; /* the last checked byte was CR */
 	bool after_lf;
-	bool bare; /* a line has ended in a line feed alone */
-	bool after_chunk; /* of the last chunk its data have come, in part */
+	bool bare_lf; /* a line ended with LF alone */
+	bool after_chunk; /* chunk data ended; CR LF must follow */
 };
 
-/** mh_line_ends_feed() - @data are the next bytes of the message. */
+/** mh_line_ends_feed() - sets the next bytes of the message. */
 void mh_line_ends_feed(struct mh_line_ends *l, const char *data);
 /**
- * mh_line_ends_upto() - whether the lines in the bytes before @at are sound.
- * @chunked: the message's body comes in chunks; all its lines end in both
+ * mh_line_ends_check() - checks the bytes before @at, outside of the body.
+ * @chunked: the body has chunked coding; then all lines must end with CR LF
+ *
+ * Returns false if a line is malformed.
  */
-bool mh_line_ends_upto(struct mh_line_ends *l, const char *at, bool chunked);
-/** mh_line_ends_body() - the bytes before @end are of the body. */
+bool mh_line_ends_check(struct mh_line_ends *l, const char *at, bool chunked);
+/** mh_line_ends_body() - skips body bytes up to @end without a check. */
 void mh_line_ends_body(struct mh_line_ends *l, const char *end, bool chunked);
 
 /* addr.c */
 
-/** mh_listen() - a listening socket; port 0 picks one, told in @port. */
+/**
+ * mh_listen() - opens a listening socket; the caller closes it.
+ * @port: set to the port that is bound; port 0 in @addr picks a free one
+ *
+ * Returns -1 and sets @err on failure.
+ */
 int mh_listen(const char *addr, uint16_t *port, GError **err);
 
 /* hserve.c, hreq.c: HTTP/1.1 server that keeps requests byte for byte */
@@ -60,19 +73,19 @@
 struct mh_hserve;
 struct mh_hreq;
 
-/** struct mh_hlimits - bounds on what a caller may send, and how slowly. */
+/** struct mh_hlimits - limits on the size and duration of a request. */
 struct mh_hlimits {
 	uint32_t header_bytes;
 	uint32_t body_bytes;
-	int64_t header_us;
-	int64_t idle_us;
+	int64_t header_us; /* from a request's first byte to its last */
+	int64_t idle_us; /* without a request, since accept or a response */
 };
 
 struct mh_hserve_args {
-	const char *listen; /* ip:port, port 0 picks one */
+	const char *listen; /* ip:port, port 0 picks a free one */
 	struct mh_hlimits limits;
 	void (*on_request)(void *arg, struct mh_hreq *r);
-	/* the caller closed; @r is freed on return */
+	/* the caller disconnected first; @r is freed on return */
 	void (*on_gone)(void *arg, struct mh_hreq *r);
 	void *arg;
 };
@@ -82,82 +95,85 @@
 void mh_hserve_destroy(struct mh_hserve *s);
 uint16_t mh_hserve_port(const struct mh_hserve *s);
 void mh_hserve_set_limits(struct mh_hserve *s, const struct mh_hlimits *l);
-/** mh_hserve_drain() - each answer from now on closes its connection. */
+/** mh_hserve_drain() - closes each connection after its next response. */
 void mh_hserve_drain(struct mh_hserve *s);
 /**
- * mh_hserve_finish() - the last part of an orderly end.
+ * mh_hserve_finish() - last step of an orderly shutdown.
  *
- * Connections that wait for a request are closed, now and as they come to
- * wait; those that wait to be accepted are accepted first, then the listening
- * socket is closed.  A request whose bytes have come by then is still read
- * and handed over: who takes it answers or refuses at once.  One that comes
- * later meets a closed socket, so that its caller sees a reset and not one
- * byte of an answer; it has not been read.  Answers go on until their bytes
- * are with the kernel.  Call it late: a connection that carries an answer
- * before is told to close and needs no guess when the caller uses it next.
+ * Accepts the connections in the listen queue, closes the listening socket,
+ * and closes each connection once it waits for a request.  A request received
+ * by then is still read and delivered, and must be answered at once.  A later
+ * request is never read: its caller sees a reset and no byte of a response.
+ * Responses go on until the kernel has accepted their last byte.  Call it as
+ * long after mh_hserve_drain() as possible: a connection whose response
+ * announced the close is not used again, so no request on it meets a reset.
  */
 void mh_hserve_finish(struct mh_hserve *s);
 /**
- * mh_hserve_open() - connections that a server's end would cut.
+ * mh_hserve_active_count() - connections in the middle of an exchange.
  *
- * A request half read or not answered, or an answer with bytes that are not
- * with the kernel yet.
+ * Those with a request that is partly read or not answered, and those with a
+ * response whose bytes the kernel has not accepted yet.
  */
 uint32_t mh_hserve_open(const struct mh_hserve *s);
 
 const char *mh_hreq_method(const struct mh_hreq *r);
-/** mh_hreq_target() - path and query exactly as received. */
+/** mh_hreq_target() - path and query as received, not decoded. */
 const char *mh_hreq_target(const struct mh_hreq *r);
 const struct mh_headers *mh_hreq_headers(const struct mh_hreq *r);
-/** mh_hreq_body() - valid while the request is. */
+/** mh_hreq_body() - owned by the request. */
 const GByteArray *mh_hreq_body(const struct mh_hreq *r);
 void *mh_hreq_data(const struct mh_hreq *r);
 void mh_hreq_set_data(struct mh_hreq *r, void *data);
 /**
- * mh_hreq_head() - starts an answer.
- * @length: bytes of the body, -1 when not known beforehand
+ * mh_hreq_head() - starts the response.
+ * @length: bytes of the body, -1 if not known yet
  */
 void mh_hreq_head(struct mh_hreq *r, uint32_t status,
     const struct mh_headers *headers, int64_t length);
 void mh_hreq_write(struct mh_hreq *r, const void *data, size_t len);
 /**
- * mh_hreq_end() - the answer is complete; frees @r.
+ * mh_hreq_end() - completes the response; frees @r.
  *
- * One whose bytes aren't as many as told is broken instead.
+ * Resets the connection instead if the body does not have the declared length.
  */
 void mh_hreq_end(struct mh_hreq *r);
-/** mh_hreq_break() - resets the connection; frees @r. */
+/** mh_hreq_abort() - resets the connection; frees @r. */
 void mh_hreq_break(struct mh_hreq *r);
 
-/* hcall.c: HTTP/1.1 client that sends a request once, whatever happens */
+/* hcall.c: HTTP/1.1 client that sends each request at most once */
 
 struct mh_hcalls;
 struct mh_hcall;
 
 enum mh_hcall_end {
-	MH_CALL_WHOLE, /* the answer came complete */
-	MH_CALL_UNSENT, /* no byte of the request has left */
-	MH_CALL_BROKEN, /* sent at least in part; it may have run */
-	MH_CALL_UNREADABLE /* sent; what its peer answers can't be read */
+	MH_CALL_WHOLE, /* the response is complete */
+	MH_CALL_UNSENT, /* no byte of the request was sent */
+	MH_CALL_BROKEN, /* sent at least in part; it may have been executed */
+	MH_CALL_UNREADABLE /* sent; the response is malformed */
 };
 
+/**
+ * struct mh_hcall_fns - callbacks of a call.
+ * @head: @length is the declared body length, -1 if there is none
+ * @done: last callback of a call, which is freed on return
+ */
 struct mh_hcall_fns {
 	void (*head)(void *arg, uint32_t status, const struct mh_headers *h,
 	    int64_t length);
 	void (*data)(void *arg, const char *data, size_t len);
-	/* the call is freed on return */
-	void (*done)(void *arg, enum mh_hcall_end end);
+	void (*done)(void *arg, enum mh_hcall_end outcome);
 };
 
 struct mh_hcall_args {
 	const char *addr; /* ip:port */
-	const char *peer; /* which process there; connections are its own */
+	const char *peer; /* process at @addr; has its own connections */
 	GBytes *text; /* the whole request */
-	/* an answer whose field @echo_name is not @echo belongs to others */
+	/* a response whose field @echo_name is not @echo is of another call */
 	const char *echo_name;
 	const char *echo;
-	bool is_head; /* a HEAD request: the answer has no body */
-	bool fresh; /* never on a kept connection */
+	bool is_head; /* a HEAD request: the response has no body */
+	bool fresh; /* use a new connection */
 	struct mh_hcall_fns fns;
 	void *arg;
 };
@@ -166,9 +182,13 @@
 void mh_hcalls_destroy(struct mh_hcalls *c);
 struct mh_hcall *mh_hcalls_start(
     struct mh_hcalls *c, const struct mh_hcall_args *a);
-/** mh_hcall_abort() - closes its connection; done() is not called. */
+/** mh_hcall_abort() - closes its connection without calling done(). */
 void mh_hcall_abort(struct mh_hcall *call);
-/** mh_hcalls_forget() - closes the idle connections to a peer. */
+/**
+ * mh_hcalls_close_peer() - closes the connections to a peer.
+ *
+ * Idle ones are closed at once, the others when their calls end.
+ */
 void mh_hcalls_forget(struct mh_hcalls *c, const char *peer);
 
 #endif
--- a/lib/sse.c
+++ b/lib/sse.c
@@ -1,10 +1,10 @@
 /**
- * DOC: Whole events of a stream, and where the stream stands.
+ * DOC: Splits a stream into events and tracks its position.
  *
- * An endpoint may stop in the middle of an event.  Only whole events are
- * passed on, so that another run can go on after the last one without a
- * torn piece before it.  A reader belongs to one run and takes what is not
- * whole with it; where the stream stands outlives the runs.
+ * An endpoint may fail in the middle of an event.  Only complete events are
+ * passed on, so that a run at another endpoint can continue after the last
+ * one.  A reader (struct mh_sse) belongs to one run and discards an incomplete
+ * event with it; the cursor belongs to the stream and outlives its runs.
  */
 
 #include "gate.h"
@@ -13,32 +13,31 @@
 #include <string.h>
 
 #define ID_LEN 24
-/* Far more than an engine makes in one step. */
+/* Bytes; far more than an engine produces in one step. */
 #define MAX_EVENT ((size_t)1 << 20)
 
 struct mh_cursor {
-	bool ordered; /* its ids increase */
-	bool resumes; /* @last was the caller's own, and no event has come */
-	bool numbered; /* @last is set */
-	bool by_one; /* it began with the number that was due: none is left out
-		      */
-	bool lost; /* behind @last came an event without a number */
+	bool ordered; /* the stream's ids increase */
+	bool resumes; /* @last is the caller's, and no event was received */
+	bool has_last; /* @last is set */
+	bool consecutive; /* it began with the expected id: ids have no gaps */
+	bool unnumbered; /* an event without a number came after @last */
 	uint64_t last;
 	char last_id[ID_LEN];
 };
 
 struct mh_sse {
-	struct mh_cursor *cursor; /* the stream's */
-	enum mh_ids known; /* how the endpoint numbered events before */
+	struct mh_cursor *cursor; /* of the stream */
+	enum mh_ids prior_ids; /* how the endpoint numbered earlier streams */
 	enum mh_ids ids; /* how this run does, if it began the stream */
-	GString *held; /* what was received and not passed on */
-	size_t begun; /* of @held: where the event begins */
-	size_t read; /* of @held: where to read on */
-	/* the line end that was read last */
-	bool blank; /* the line has no byte yet */
-	bool cr; /* the last byte: a line's end, or half of one */
-	bool lone; /* the last line ended with a CR alone */
-	bool ended; /* the event did; a LF would belong to its end */
+	GString *buf; /* received and not passed on */
+	size_t event_start; /* offset of the current event in @buf */
+	size_t scan; /* offset of the next byte to scan in @buf */
+	/* state of the scan for line ends */
+	bool line_empty; /* the current line is empty so far */
+	bool after_cr; /* the last byte was CR, which LF may follow */
+	bool lone_cr; /* the last line ended with CR alone */
+	bool event_ended; /* an event ended with CR; a LF next belongs to it */
 };
 
 static bool
@@ -54,10 +53,10 @@
 }
 
 static void
-move(struct mh_cursor *c, uint64_t id)
+set_last(struct mh_cursor *c, uint64_t id)
 {
-	c->numbered = true;
-	c->lost = false;
+	c->has_last = true;
+	c->unnumbered = false;
 	c->last = id;
 	g_snprintf(c->last_id, sizeof(c->last_id), "%" PRIu64, id);
 }
@@ -70,7 +69,7 @@
 
 	c->ordered = ordered;
 	if (after != NULL && read_id(after, &id)) {
-		move(c, id);
+		set_last(c, id);
 		c->resumes = true;
 	}
 	return c;
@@ -85,24 +84,24 @@
 const char *
 mh_cursor_last_id(const struct mh_cursor *c)
 {
-	return c->numbered ? c->last_id : NULL;
+	return c->has_last ? c->last_id : NULL;
 }
 
 bool
 mh_cursor_lost(const struct mh_cursor *c)
 {
-	return c->lost;
+	return c->unnumbered;
 }
 
 struct mh_sse *
-mh_sse_create(struct mh_cursor *c, enum mh_ids known)
+mh_sse_create(struct mh_cursor *c, enum mh_ids prior_ids)
 {
 	struct mh_sse *s = g_new0(struct mh_sse, 1);
 
 	s->cursor = c;
-	s->known = known;
-	s->held = g_string_new(NULL);
-	s->blank = true;
+	s->prior_ids = prior_ids;
+	s->buf = g_string_new(NULL);
+	s->line_empty = true;
 	return s;
 }
 
@@ -111,66 +110,67 @@
 {
 	if (s == NULL)
 		return;
-	g_string_free(s->held, TRUE);
+	g_string_free(s->buf, TRUE);
 	g_free(s);
 }
 
 /*
- * Whether the event ends with @ch.  Lines end with LF, CR LF or CR.  A CR ends
- * an event at once where the line before ended with a CR alone; elsewhere the
- * next byte tells, so that no CR LF is parted.
+ * Whether the event ends with @ch.  Lines end with LF, CR LF or CR.  A CR on an
+ * empty line ends the event at once if the line before ended with CR alone;
+ * otherwise the next byte decides, so that no CR LF is split.
  */
 static bool
-ends_with(struct mh_sse *s, char ch)
+ends_event(struct mh_sse *s, char ch)
 {
-	bool blank = s->blank;
+	bool line_empty = s->line_empty;
 
-	s->cr = ch == '\r';
-	s->blank = s->cr ? blank : ch == '\n';
+	s->after_cr = ch == '\r';
+	s->line_empty = s->after_cr ? line_empty : ch == '\n';
 	if (ch == '\n')
-		s->lone = false;
-	return blank && (ch == '\n' || (s->cr && s->lone));
+		s->lone_cr = false;
+	return line_empty && (ch == '\n' || (s->after_cr && s->lone_cr));
 }
 
-/* A CR was followed by another byte than LF: the line has ended there. */
+/* The line ended with a CR that no LF follows. */
 static void
 end_line(struct mh_sse *s)
 {
-	s->blank = true;
-	s->lone = true;
-	s->cr = false;
+	s->line_empty = true;
+	s->lone_cr = true;
+	s->after_cr = false;
 }
 
-/* Whether @held has a whole event up to @read, which is moved on. */
+/* Advances @scan; returns true once a complete event ends there. */
 static bool
 find_end(struct mh_sse *s)
 {
-	while (s->read < s->held->len) {
-		char ch = s->held->str[s->read];
+	while (s->scan < s->buf->len) {
+		char ch = s->buf->str[s->scan];
 
-		if (s->cr && ch != '\n') {
-			bool over = s->blank;
+		if (s->after_cr && ch != '\n') {
+			bool event_over = s->line_empty;
 
 			end_line(s);
-			if (over)
+			if (event_over)
 				return true;
 		}
-		s->read++;
-		if (s->ended && s->read == s->begun + 1 && ch == '\n')
+		s->scan++;
+		if (s->event_ended && s->scan == s->event_start + 1 &&
+		    ch == '\n')
 			return true;
-		s->ended = false;
-		if (ends_with(s, ch)) {
-			s->ended = s->cr;
-			s->cr = false;
+		s->event_ended = false;
+		if (ends_event(s, ch)) {
+			s->event_ended = s->after_cr;
+			s->after_cr = false;
 			return true;
 		}
 	}
 	return false;
 }
 
-/** struct event - what the cursor is to know of an event. */
+/** struct event - fields of an event that affect the cursor. */
 struct event {
-	char *id; /* the last one given, NULL: none */
+	char *id; /* of its last id field, NULL: none */
 	bool has_data;
 };
 
@@ -205,47 +205,48 @@
 	}
 }
 
-/* The first number that comes shows how the endpoint counts. */
+/* The first id of a stream, or after a caller resumed it, shows how the
+ * endpoint numbers events. */
 static void
-begin(struct mh_sse *s, uint64_t id, uint64_t due)
+note_first_id(struct mh_sse *s, uint64_t id, uint64_t expected)
 {
 	struct mh_cursor *c = s->cursor;
 
-	if (!c->numbered)
-		s->ids = id <= due ? MH_IDS_COUNT : MH_IDS_LEAVE_OUT;
-	c->by_one = id <= due && s->known != MH_IDS_LEAVE_OUT;
+	if (!c->has_last)
+		s->ids = id <= expected ? MH_IDS_COUNT : MH_IDS_LEAVE_OUT;
+	c->consecutive = id <= expected && s->prior_ids != MH_IDS_LEAVE_OUT;
 }
 
 /*
- * Where endpoints count their events a number that is left out is an event
- * that is missing.  Of a caller that resumes it is taken that they do, unless
- * the endpoint is known to do otherwise.
+ * If the endpoint numbers events without gaps, a gap is a missing event.  This
+ * is also assumed after a caller resumed a stream, unless the endpoint was seen
+ * to leave numbers out.
  */
 static enum mh_sse_fault
 advance(struct mh_sse *s, const char *text)
 {
 	struct mh_cursor *c = s->cursor;
-	uint64_t id, due = c->numbered ? c->last + 1 : 1;
-	bool counts = c->by_one || s->known == MH_IDS_COUNT ||
-	    (c->resumes && s->known == MH_IDS_UNKNOWN);
+	uint64_t id, expected = c->has_last ? c->last + 1 : 1;
+	bool no_gaps = c->consecutive || s->prior_ids == MH_IDS_COUNT ||
+	    (c->resumes && s->prior_ids == MH_IDS_UNKNOWN);
 
 	if (!read_id(text, &id)) {
-		c->lost = true;
+		c->unnumbered = true;
 		return MH_SSE_GOOD;
 	}
-	if (c->ordered && c->numbered && id <= c->last)
+	if (c->ordered && c->has_last && id <= c->last)
 		return MH_SSE_REPEATED;
-	if (c->ordered && counts && id > due)
+	if (c->ordered && no_gaps && id > expected)
 		return MH_SSE_SKIPPED;
-	if (!c->numbered || c->resumes)
-		begin(s, id, due);
+	if (!c->has_last || c->resumes)
+		note_first_id(s, id, expected);
 	c->resumes = false;
-	move(c, id);
+	set_last(c, id);
 	return MH_SSE_GOOD;
 }
 
 static enum mh_sse_fault
-note_event(struct mh_sse *s, const char *text, size_t len)
+track_event(struct mh_sse *s, const char *text, size_t len)
 {
 	enum mh_sse_fault f = MH_SSE_GOOD;
 	struct event e = { NULL, false };
@@ -254,7 +255,7 @@
 	if (e.id != NULL)
 		f = advance(s, e.id);
 	else if (e.has_data)
-		s->cursor->lost = true;
+		s->cursor->unnumbered = true;
 	g_free(e.id);
 	return f;
 }
@@ -262,22 +263,22 @@
 static enum mh_sse_fault
 check_length(const struct mh_sse *s)
 {
-	return s->held->len > MAX_EVENT ? MH_SSE_TOO_LONG : MH_SSE_GOOD;
+	return s->buf->len > MAX_EVENT ? MH_SSE_TOO_LONG : MH_SSE_GOOD;
 }
 
-/* Passes on the event up to @read. */
+/* Appends the event that ends at @scan to @out. */
 static enum mh_sse_fault
-take_event(struct mh_sse *s, GString *out)
+pass_event(struct mh_sse *s, GString *out)
 {
-	const char *event = s->held->str + s->begun;
-	size_t len = s->read - s->begun;
-	enum mh_sse_fault f = note_event(s, event, len);
+	const char *event = s->buf->str + s->event_start;
+	size_t len = s->scan - s->event_start;
+	enum mh_sse_fault f = track_event(s, event, len);
 
 	if (f != MH_SSE_GOOD)
 		return f;
 	g_string_append_len(out, event, (gssize)len);
-	s->begun = s->read;
-	s->blank = true;
+	s->event_start = s->scan;
+	s->line_empty = true;
 	return MH_SSE_GOOD;
 }
 
@@ -286,12 +287,12 @@
 {
 	enum mh_sse_fault f = MH_SSE_GOOD;
 
-	g_string_append_len(s->held, data, (gssize)len);
+	g_string_append_len(s->buf, data, (gssize)len);
 	while (f == MH_SSE_GOOD && find_end(s))
-		f = take_event(s, out);
-	g_string_erase(s->held, 0, (gssize)s->begun);
-	s->read -= s->begun;
-	s->begun = 0;
+		f = pass_event(s, out);
+	g_string_erase(s->buf, 0, (gssize)s->event_start);
+	s->scan -= s->event_start;
+	s->event_start = 0;
 	return f != MH_SSE_GOOD ? f : check_length(s);
 }
 
@@ -315,5 +316,5 @@
 size_t
 mh_sse_held(const struct mh_sse *s)
 {
-	return s->held->len;
+	return s->buf->len;
 }
--- a/regress/t_http.c
+++ b/regress/t_http.c
@@ -1,7 +1,7 @@
 /**
- * DOC: The HTTP server and client that pass requests on, over real sockets
- * on loopback, byte for byte.  The other side is raw bytes; port 0; no
- * assertion on time.
+ * DOC: The HTTP server and client that pass requests on byte for byte, over
+ * loopback sockets.  The tests send and check raw bytes on the other side;
+ * ports are picked by the kernel, and nothing asserts on elapsed time.
  */
 
 #include "gate.h"
@@ -16,11 +16,11 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-#define LONGEST_US (10 * MH_US_PER_S)
-/* More than the kernel takes for a caller that does not read. */
+#define TIMEOUT_US (10 * MH_US_PER_S)
+/* Bytes; more than the kernel buffers for a caller that does not read. */
 #define LONG_ANSWER ((size_t)6 << 20)
 
-/** struct hrig - a server, a client and what they saw. */
+/** struct hrig - a server, a client and what they observed. */
 struct hrig {
 	struct mh_kern *k;
 	struct mh_loop *loop;
@@ -29,27 +29,27 @@
 	char addr[32];
 	/* the server's side */
 	uint32_t requests;
-	uint32_t gone;
+	uint32_t disconnects;
 	char target[64];
 	char body[64];
-	bool hold; /* answer nothing */
-	bool cut; /* break in the middle of the answer */
-	size_t big; /* bytes of the answer; 0: two */
-	struct mh_hreq *held;
+	bool defer; /* do not answer yet */
+	bool abort_answer; /* in the middle of the response */
+	size_t answer_bytes; /* response body; 0: two bytes */
+	struct mh_hreq *req;
 	/* raw peer of the client */
 	int listen_fd;
 	int peer_fd;
-	const char *script; /* what it answers to each request */
+	const char *script; /* its response to each request */
 	bool reset;
 	uint32_t accepted;
 	/* raw caller of the server */
-	GString *feed; /* what it has still to send */
-	const char *until; /* enough once this has come */
-	int raw_errno; /* 0: the connection ended in order */
-	uint32_t turns; /* of the loop */
+	GString *feed; /* still to be sent */
+	const char *stop_text; /* stops the loop when received */
+	int raw_errno; /* 0: orderly close */
+	uint32_t loop_count; /* iterations of the loop */
 	/* the client's side */
 	uint32_t ended;
-	uint32_t want; /* calls that are to end */
+	uint32_t want; /* calls to wait for */
 	enum mh_hcall_end end;
 	uint32_t status;
 	GString *got;
@@ -58,13 +58,13 @@
 static void
 run(struct hrig *r)
 {
-	CU_ASSERT_TRUE(run_most(r->k, r->loop, LONGEST_US));
+	CU_ASSERT_TRUE(run_most(r->k, r->loop, TIMEOUT_US));
 }
 
 static void
 answer(struct hrig *r, struct mh_hreq *q)
 {
-	char *body = g_strnfill(r->big > 0 ? r->big : 2, 'x');
+	char *body = g_strnfill(r->answer_bytes > 0 ? r->answer_bytes : 2, 'x');
 
 	mh_hreq_head(q, 200, NULL, (int64_t)strlen(body));
 	mh_hreq_write(q, body, strlen(body));
@@ -82,10 +82,10 @@
 	g_strlcpy(r->target, mh_hreq_target(q), sizeof(r->target));
 	g_snprintf(r->body, sizeof(r->body), "%.*s", (int)b->len,
 	    (const char *)b->data);
-	r->held = q;
-	if (r->hold)
+	r->req = q;
+	if (r->defer)
 		return;
-	if (!r->cut) {
+	if (!r->abort_answer) {
 		answer(r, q);
 		return;
 	}
@@ -95,12 +95,12 @@
 }
 
 static void
-on_gone(void *arg, struct mh_hreq *q)
+on_disconnect(void *arg, struct mh_hreq *q)
 {
 	struct hrig *r = arg;
 
 	(void)q;
-	r->gone++;
+	r->disconnects++;
 	mh_loop_stop(r->loop);
 }
 
@@ -109,9 +109,9 @@
 {
 	struct hrig *r = g_new0(struct hrig, 1);
 	struct mh_hserve_args a = { .listen = "127.0.0.1:0",
-		.limits = { 512, 64, 3 * MH_US_PER_S, 2 * LONGEST_US },
+		.limits = { 512, 64, 3 * MH_US_PER_S, 2 * TIMEOUT_US },
 		.on_request = on_request,
-		.on_gone = on_gone,
+		.on_gone = on_disconnect,
 		.arg = r };
 
 	r->k = mh_kern_create(1);
@@ -160,7 +160,8 @@
 	n = recv(r->peer_fd, buf, sizeof(buf), MSG_DONTWAIT);
 	if (n > 0) {
 		g_string_append_len(r->got, buf, n);
-		if (r->until != NULL && strstr(r->got->str, r->until) != NULL)
+		if (r->stop_text != NULL &&
+		    strstr(r->got->str, r->stop_text) != NULL)
 			mh_loop_stop(r->loop);
 		return;
 	}
@@ -184,7 +185,7 @@
 	mh_loop_fd(r->loop, r->peer_fd, true, false, on_raw, r);
 }
 
-/* A caller with a small window that reads nothing before @us have passed. */
+/* A caller with a small receive window that starts to read after @us. */
 static void
 raw_slow(struct hrig *r, const char *text, int64_t us)
 {
@@ -211,7 +212,7 @@
 		mh_loop_fd(r->loop, r->peer_fd, true, false, on_raw, r);
 }
 
-/* A caller that sends @more bytes behind @text, as fast as they are taken. */
+/* A caller that sends @more bytes after @text as fast as possible. */
 static void
 raw_feed(struct hrig *r, const char *text, size_t more)
 {
@@ -229,21 +230,21 @@
 {
 	struct hrig *r = arg;
 
-	r->hold = false;
-	answer(r, r->held);
+	r->defer = false;
+	answer(r, r->req);
 }
 
-/** struct wire - bytes of a caller, and what becomes of them. */
-struct wire {
+/** struct request_case - bytes of a caller, and the expected result. */
+struct request_case {
 	const char *name;
 	const char *text;
-	uint32_t requests; /* that the gate sees */
-	const char *status; /* start of the answer */
+	uint32_t requests; /* delivered */
+	const char *status; /* prefix of the response */
 };
 
 #define END "Connection: close\r\n\r\n"
 
-static const struct wire wires[] = {
+static const struct request_case request_cases[] = {
 	{ "plain", "GET /a%20b?x=%2F&y=a+b HTTP/1.1\r\nHost: h\r\n" END, 1,
 	    "HTTP/1.1 200" },
 	{ "with a length",
@@ -253,7 +254,7 @@
 	    "POST /a HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n" END
 	    "1\r\na\r\n2\r\nbc\r\n0\r\n\r\n",
 	    1, "HTTP/1.1 200" },
-	{ "length and chunks: two readers would part them differently",
+	{ "length and chunks: parsers disagree on the body",
 	    "POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n"
 	    "Transfer-Encoding: chunked\r\n" END "0\r\n\r\n",
 	    0, "HTTP/1.1 400" },
@@ -267,7 +268,7 @@
 	{ "no host", "GET /a HTTP/1.1\r\n" END, 0, "HTTP/1.1 400" },
 	{ "two hosts", "GET /a HTTP/1.1\r\nHost: h\r\nHost: g\r\n" END, 0,
 	    "HTTP/1.1 400" },
-	{ "no request", "hello\r\n\r\n", 0, "HTTP/1.1 400" },
+	{ "not HTTP", "hello\r\n\r\n", 0, "HTTP/1.1 400" },
 	{ "bad chunk",
 	    "POST /a HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n" END
 	    "zz\r\n",
@@ -278,17 +279,18 @@
 };
 
 static void
-test_wires(void)
+test_requests(void)
 {
-	for (size_t i = 0; i < G_N_ELEMENTS(wires); i++) {
-		const struct wire *w = &wires[i];
+	for (size_t i = 0; i < G_N_ELEMENTS(request_cases); i++) {
+		const struct request_case *w = &request_cases[i];
 		struct hrig *r = hrig_create();
 
 		raw(r, w->text);
 		run(r);
 		if (r->requests != w->requests ||
 		    !g_str_has_prefix(r->got->str, w->status))
-			fprintf(stderr, "wire: %s: %s\n", w->name, r->got->str);
+			fprintf(
+			    stderr, "request: %s: %s\n", w->name, r->got->str);
 		CU_ASSERT_EQUAL(r->requests, w->requests);
 		CU_ASSERT_TRUE(g_str_has_prefix(r->got->str, w->status));
 		hrig_destroy(r);
@@ -299,20 +301,20 @@
 test_header_over_the_limit(void)
 {
 	struct hrig *r = hrig_create();
-	char *big = g_strnfill(600, 'x');
-	char *text =
-	    g_strdup_printf("GET /a HTTP/1.1\r\nHost: h\r\nX: %s\r\n" END, big);
+	char *value = g_strnfill(600, 'x');
+	char *text = g_strdup_printf(
+	    "GET /a HTTP/1.1\r\nHost: h\r\nX: %s\r\n" END, value);
 
 	raw(r, text);
 	run(r);
 	CU_ASSERT_EQUAL(r->requests, 0);
 	CU_ASSERT_TRUE(g_str_has_prefix(r->got->str, "HTTP/1.1 431"));
-	g_free(big);
+	g_free(value);
 	g_free(text);
 	hrig_destroy(r);
 }
 
-/* Path and query reach the gate as they were sent. */
+/* Path and query are delivered as sent, not decoded or normalised. */
 static void
 test_target_unchanged(void)
 {
@@ -327,7 +329,7 @@
 	hrig_destroy(r);
 }
 
-/* Two requests on one connection, sent at once: answered in order. */
+/* Two pipelined requests on one connection are answered in order. */
 static void
 test_two_on_one_connection(void)
 {
@@ -343,7 +345,7 @@
 }
 
 static void
-leave(void *arg)
+close_peer(void *arg)
 {
 	struct hrig *r = arg;
 
@@ -352,38 +354,38 @@
 	r->peer_fd = -1;
 }
 
-/* A caller that closes while it waits is noticed at once. */
+/* A caller that closes while it waits for a response is detected. */
 static void
 test_caller_closes(void)
 {
 	struct hrig *r = hrig_create();
 
-	r->hold = true;
+	r->defer = true;
 	raw(r, "GET /1 HTTP/1.1\r\nHost: h\r\n\r\n");
-	mh_timer_start(r->k, 50 * MH_US_PER_MS, leave, r);
+	mh_timer_start(r->k, 50 * MH_US_PER_MS, close_peer, r);
 	run(r);
 	CU_ASSERT_EQUAL(r->requests, 1);
-	CU_ASSERT_EQUAL(r->gone, 1);
+	CU_ASSERT_EQUAL(r->disconnects, 1);
 	hrig_destroy(r);
 }
 
-/* An answer that breaks has no last chunk: it does not look complete. */
+/* An aborted response has no last chunk, so it does not look complete. */
 static void
-test_broken_answer(void)
+test_aborted_response(void)
 {
 	struct hrig *r = hrig_create();
 
-	r->cut = true;
+	r->abort_answer = true;
 	raw(r, "GET /1 HTTP/1.1\r\nHost: h\r\n\r\n");
 	run(r);
 	CU_ASSERT_PTR_NULL(strstr(r->got->str, "0\r\n\r\n"));
 	hrig_destroy(r);
 }
 
-/* answers that have been made and are to arrive */
+/* delivery of complete responses */
 
 static size_t
-heads_end(const GString *got)
+head_len(const GString *got)
 {
 	const char *p = strstr(got->str, "\r\n\r\n");
 
@@ -391,28 +393,27 @@
 }
 
 /*
- * A caller asks for a long answer on a connection that is to close, and
- * pauses before it reads.  The answer was made whole, yet it arrived cut in
- * the middle: the time given to a caller to close began with the answer's
- * end and not when its bytes had left.
+ * A caller requests a long response with "Connection: close" and pauses before
+ * it reads.  The linger time must start when the response has been sent, not
+ * when it is complete; otherwise the caller gets a truncated response.
  */
 static void
 test_slow_caller_that_closes(void)
 {
 	struct hrig *r = hrig_create();
 
-	r->big = LONG_ANSWER;
+	r->answer_bytes = LONG_ANSWER;
 	raw_slow(r, "GET /1 HTTP/1.1\r\nHost: h\r\n" END, 1500 * MH_US_PER_MS);
 	run(r);
 	CU_ASSERT_EQUAL(r->raw_errno, 0);
-	CU_ASSERT_EQUAL(r->got->len - heads_end(r->got), LONG_ANSWER);
+	CU_ASSERT_EQUAL(r->got->len - head_len(r->got), LONG_ANSWER);
 	hrig_destroy(r);
 }
 
 /*
- * A caller on a connection that stays open takes longer over a long answer
- * than the server keeps idle connections.  The connection counted as idle
- * while the answer's bytes were leaving, so the answer was cut.
+ * A caller on a kept connection reads a long response for longer than the idle
+ * limit.  The connection must not count as idle while the response is being
+ * sent; otherwise the response is truncated.
  */
 static void
 test_slow_caller_is_not_idle(void)
@@ -421,26 +422,26 @@
 	struct mh_hlimits l = { 512, 64, 3 * MH_US_PER_S, 100 * MH_US_PER_MS };
 
 	mh_hserve_set_limits(r->s, &l);
-	r->big = LONG_ANSWER;
+	r->answer_bytes = LONG_ANSWER;
 	raw_slow(r, "GET /1 HTTP/1.1\r\nHost: h\r\n\r\n", 400 * MH_US_PER_MS);
 	run(r);
 	CU_ASSERT_EQUAL(r->raw_errno, 0);
-	CU_ASSERT_EQUAL(r->got->len - heads_end(r->got), LONG_ANSWER);
+	CU_ASSERT_EQUAL(r->got->len - head_len(r->got), LONG_ANSWER);
 	hrig_destroy(r);
 }
 
 /*
- * A caller sends two requests at once and reads both long answers, if late.
- * Each is within the bound for bytes that wait for a caller; the second was
- * made while the first still waited, and both were thrown away for passing
- * the bound together.
+ * A caller pipelines two requests and reads both long responses after a pause.
+ * Each response is within the limit of unsent bytes, both together are not.
+ * The connection must not be dropped because the second response is produced
+ * while the first still waits to be sent.
  */
 static void
-test_two_long_answers(void)
+test_two_long_responses(void)
 {
 	struct hrig *r = hrig_create();
 
-	r->big = LONG_ANSWER;
+	r->answer_bytes = LONG_ANSWER;
 	raw_slow(r,
 	    "GET /1 HTTP/1.1\r\nHost: h\r\n\r\n"
 	    "GET /2 HTTP/1.1\r\nHost: h\r\n" END,
@@ -453,44 +454,43 @@
 }
 
 /*
- * A caller goes on sending behind a request whose answer closes the
- * connection.  While the answer was awaited reading stopped at the bound for
- * early bytes, and it never began again; so the close met unread bytes, was a
- * reset, and took the end of the answer with it.
+ * A caller keeps sending after a request whose response closes the connection.
+ * Reading pauses at the input limit while the request is processed and must
+ * resume with the response; otherwise the close finds unread input, resets the
+ * connection, and the end of the response is lost.
  */
 static void
-test_bytes_behind_the_last_request(void)
+test_bytes_after_the_last_request(void)
 {
 	struct hrig *r = hrig_create();
 	int window = 32 << 10;
 
-	r->hold = true;
-	r->big = (size_t)1 << 20;
+	r->defer = true;
+	r->answer_bytes = (size_t)1 << 20;
 	raw_feed(r, "GET /1 HTTP/1.1\r\nHost: h\r\n" END, 8 << 20);
 	setsockopt(r->peer_fd, SOL_SOCKET, SO_RCVBUF, &window, sizeof(window));
 	mh_timer_start(r->k, 100 * MH_US_PER_MS, on_answer, r);
 	mh_timer_start(r->k, 1500 * MH_US_PER_MS, on_wake, r);
 	run(r);
 	CU_ASSERT_EQUAL(r->raw_errno, 0);
-	CU_ASSERT_EQUAL(r->got->len - heads_end(r->got), (size_t)1 << 20);
+	CU_ASSERT_EQUAL(r->got->len - head_len(r->got), (size_t)1 << 20);
 	CU_ASSERT_EQUAL(r->feed->len, 0);
 	hrig_destroy(r);
 }
 
 /*
- * A request with a body of some size comes right behind another one.  The
- * body's first part filled the bound for early bytes, which stopped reading,
- * and taking that part up did not start it again: the whole request was
- * answered as one that came too slowly.
+ * A request with a large body follows another request at once.  Its first part
+ * fills the input buffer, which pauses reading.  Reading must resume when the
+ * buffer is parsed; otherwise the request is answered 408.
  */
 static void
-test_body_behind_a_request(void)
+test_body_after_a_request(void)
 {
 	struct hrig *r = hrig_create();
 	struct mh_hlimits l = { 512, 1 << 20, MH_US_PER_S, MH_US_PER_S };
 
 	mh_hserve_set_limits(r->s, &l);
-	r->hold = true;
+	r->defer = true;
 	raw_feed(r,
 	    "GET /1 HTTP/1.1\r\nHost: h\r\n\r\n"
 	    "POST /2 HTTP/1.1\r\nHost: h\r\nContent-Length: 1000000\r\n" END,
@@ -503,29 +503,29 @@
 }
 
 /*
- * A caller sends a request and, right behind it, the head of a second one
- * whose body it holds back until it is told to go on.  The word to go on was
- * written down and not sent, and the caller waited for it.
+ * A caller sends a request and at once the head of a second one with
+ * "Expect: 100-continue".  The interim response must be sent, not just queued;
+ * otherwise the caller waits for it with the body.
  */
 static void
-test_go_on_behind_a_request(void)
+test_continue_after_a_request(void)
 {
 	struct hrig *r = hrig_create();
 
-	r->until = "100 Continue";
+	r->stop_text = "100 Continue";
 	raw(r,
 	    "GET /1 HTTP/1.1\r\nHost: h\r\n\r\n"
 	    "POST /2 HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n"
 	    "Expect: 100-continue\r\n\r\n");
 	run(r);
-	CU_ASSERT_PTR_NOT_NULL(strstr(r->got->str, r->until));
+	CU_ASSERT_PTR_NOT_NULL(strstr(r->got->str, r->stop_text));
 	CU_ASSERT_PTR_NULL(strstr(r->got->str, " 408 "));
 	hrig_destroy(r);
 }
 
-/* HTTP/1.0 knows no interim answers: one would be taken for the answer. */
+/* An HTTP/1.0 caller would take an interim response as the final one. */
 static void
-test_no_go_on_for_old_callers(void)
+test_no_continue_for_http10(void)
 {
 	struct hrig *r = hrig_create();
 
@@ -538,16 +538,16 @@
 }
 
 /*
- * An answer whose end only the connection's end tells breaks in the middle.
- * The connection was first ended in order and reset afterwards, so that the
- * caller saw an answer that looked whole.
+ * A response that ends with the connection is aborted.  The connection must be
+ * reset without an orderly close first; otherwise the caller takes the
+ * truncated response as complete.
  */
 static void
-test_broken_answer_without_a_frame(void)
+test_aborted_unframed_response(void)
 {
 	struct hrig *r = hrig_create();
 
-	r->cut = true;
+	r->abort_answer = true;
 	raw(r, "GET /1 HTTP/1.0\r\nHost: h\r\n\r\n");
 	run(r);
 	CU_ASSERT_EQUAL(r->raw_errno, ECONNRESET);
@@ -559,59 +559,59 @@
 {
 	struct hrig *r = arg;
 
-	mh_hreq_head(r->held, 200, NULL, -1);
-	mh_hreq_write(r->held, "ok", 2);
+	mh_hreq_head(r->req, 200, NULL, -1);
+	mh_hreq_write(r->req, "ok", 2);
 }
 
 static void
-end_server(struct hrig *r)
+destroy_server(struct hrig *r)
 {
 	mh_hserve_destroy(r->s);
 	r->s = NULL;
 }
 
 /*
- * The server ends while such an answer is under way.  The connections were
- * closed in order, and half an answer looked whole.
+ * The server stops in the middle of such a response.  It must reset the
+ * connection; otherwise the truncated response looks complete.
  */
 static void
-test_end_within_an_answer_without_a_frame(void)
+test_stop_within_unframed_response(void)
 {
 	struct hrig *r = hrig_create();
 
-	r->hold = true;
-	r->until = "ok";
+	r->defer = true;
+	r->stop_text = "ok";
 	raw(r, "GET /1 HTTP/1.0\r\nHost: h\r\n\r\n");
 	mh_timer_start(r->k, 50 * MH_US_PER_MS, on_first_half, r);
 	run(r);
-	end_server(r);
+	destroy_server(r);
 	run(r);
 	CU_ASSERT_EQUAL(r->raw_errno, ECONNRESET);
 	hrig_destroy(r);
 }
 
 static void
-on_enough(void *arg)
+on_stop(void *arg)
 {
 	mh_loop_stop(((struct hrig *)arg)->loop);
 }
 
 /*
- * A process refuses what it still holds after its loop has stopped, and
- * ends.  The refusals were made and lay with the server; nobody sent them,
- * and the callers saw their connections closed without a word.
+ * A process refuses its pending requests after its loop has stopped, and exits.
+ * mh_hserve_destroy() must send these responses; otherwise the callers see
+ * their connections closed without a response.
  */
 static void
-test_answer_at_the_end(void)
+test_response_after_loop_stop(void)
 {
 	struct hrig *r = hrig_create();
 
-	r->hold = true;
+	r->defer = true;
 	raw(r, "GET /1 HTTP/1.1\r\nHost: h\r\n\r\n");
-	mh_timer_start(r->k, 50 * MH_US_PER_MS, on_enough, r);
+	mh_timer_start(r->k, 50 * MH_US_PER_MS, on_stop, r);
 	run(r);
-	answer(r, r->held);
-	end_server(r);
+	answer(r, r->req);
+	destroy_server(r);
 	run(r);
 	CU_ASSERT_EQUAL(r->raw_errno, 0);
 	CU_ASSERT_TRUE(g_str_has_suffix(r->got->str, "\r\n\r\nxx"));
@@ -629,9 +629,9 @@
 }
 
 /*
- * A process is busy for a moment, and in this moment a connection's idle
- * time runs out and a request comes on it.  The timer was looked at first,
- * and the connection was reset although its next request lay there.
+ * While the process is busy, a connection's idle time expires and a request
+ * arrives on it.  The server must read the socket before it acts on the timer;
+ * otherwise it resets the connection instead of answering.
  */
 static void
 test_request_at_the_idle_limit(void)
@@ -650,9 +650,9 @@
 }
 
 static int64_t
-on_turn(void *arg)
+count_loop(void *arg)
 {
-	((struct hrig *)arg)->turns++;
+	((struct hrig *)arg)->loop_count++;
 	return -1;
 }
 
@@ -668,18 +668,18 @@
 }
 
 /*
- * The process has as many files open as it may, and a caller connects.  The
- * listening socket stayed readable, and the loop turned without a pause
- * until some file was closed.
+ * A caller connects while the process has no free file descriptor.  The
+ * listening socket stays readable, so accepting must pause; otherwise the loop
+ * spins until a descriptor is closed.
  */
 static void
-test_no_file_left(void)
+test_no_free_descriptor(void)
 {
 	struct hrig *r = hrig_create();
 	struct rlimit l, low;
 	int lowest;
 
-	mh_loop_before(r->loop, on_turn, r);
+	mh_loop_before(r->loop, count_loop, r);
 	raw(r, "GET /1 HTTP/1.1\r\nHost: h\r\n" END);
 	getrlimit(RLIMIT_NOFILE, &l);
 	low = l;
@@ -691,51 +691,52 @@
 	run(r);
 	setrlimit(RLIMIT_NOFILE, &l);
 	CU_ASSERT_TRUE(g_str_has_prefix(r->got->str, "HTTP/1.1 200"));
-	CU_ASSERT_TRUE(r->turns < 100);
+	CU_ASSERT_TRUE(r->loop_count < 100);
 	hrig_destroy(r);
 }
 
 /*
- * A long answer is under way to a caller that reads nothing of it for some
- * seconds.  Its machine confirms all the time that it is there, yet the
- * kernel's limit for silent peers counts a shut window too and cut the
- * connection, with the answer whole and the process idle.
+ * A caller reads nothing of a long, complete response for some seconds.  Its
+ * kernel answers window probes, but TCP_USER_TIMEOUT also counts the time of a
+ * zero window.  The timeout must be long enough here; otherwise the connection
+ * is cut.
  */
 static void
 test_caller_that_pauses(void)
 {
 	struct hrig *r = hrig_create();
 
-	r->big = LONG_ANSWER;
+	r->answer_bytes = LONG_ANSWER;
 	raw_slow(r, "GET /1 HTTP/1.1\r\nHost: h\r\n" END, 5500 * MH_US_PER_MS);
 	run(r);
 	CU_ASSERT_EQUAL(r->raw_errno, 0);
-	CU_ASSERT_EQUAL(r->got->len - heads_end(r->got), LONG_ANSWER);
+	CU_ASSERT_EQUAL(r->got->len - head_len(r->got), LONG_ANSWER);
 	hrig_destroy(r);
 }
 
 /*
- * A server ends while the kernel still has an answer for a slow caller, and
- * the caller has sent something behind its last request.  Left unread it
- * would make the close a reset, and the kernel would throw the answer away.
+ * A server stops while the kernel still sends a response to a slow caller that
+ * has sent more bytes after its last request.  The server must read these
+ * bytes; otherwise the close resets the connection and the rest of the
+ * response is lost.
  */
 static void
-test_end_with_unread_bytes(void)
+test_stop_with_unread_input(void)
 {
 	struct hrig *r = hrig_create();
 	char *more = g_strnfill(10000, 'x');
 
-	r->hold = true;
-	r->big = 256 << 10;
+	r->defer = true;
+	r->answer_bytes = 256 << 10;
 	raw_slow(r, "GET /1 HTTP/1.1\r\nHost: h\r\n" END, 200 * MH_US_PER_MS);
-	mh_timer_start(r->k, 50 * MH_US_PER_MS, on_enough, r);
+	mh_timer_start(r->k, 50 * MH_US_PER_MS, on_stop, r);
 	run(r);
 	CU_ASSERT(send(r->peer_fd, more, 10000, MSG_NOSIGNAL) > 0);
-	answer(r, r->held);
-	end_server(r);
+	answer(r, r->req);
+	destroy_server(r);
 	run(r);
 	CU_ASSERT_EQUAL(r->raw_errno, 0);
-	CU_ASSERT_EQUAL(r->got->len - heads_end(r->got), 256 << 10);
+	CU_ASSERT_EQUAL(r->got->len - head_len(r->got), 256 << 10);
 	g_free(more);
 	hrig_destroy(r);
 }
@@ -749,33 +750,32 @@
 }
 
 /*
- * The kernel has the whole of the last answer and a slow caller has not yet
- * taken it, when some more bytes come from the caller.  With the connection
- * closed by then they would be answered with a reset, which throws away what
- * the kernel still has.
+ * The kernel still sends the last response to a slow caller when more bytes
+ * arrive from it.  The connection must still be open; otherwise the kernel
+ * answers them with a reset and drops the rest of the response.
  */
 static void
-test_late_bytes(void)
+test_bytes_after_the_response(void)
 {
 	struct hrig *r = hrig_create();
 
-	r->big = 256 << 10;
+	r->answer_bytes = 256 << 10;
 	raw_slow(r, "GET /1 HTTP/1.1\r\nHost: h\r\n" END, 1800 * MH_US_PER_MS);
 	mh_timer_start(r->k, 1500 * MH_US_PER_MS, on_late_bytes, r);
 	run(r);
 	CU_ASSERT_EQUAL(r->raw_errno, 0);
-	CU_ASSERT_EQUAL(r->got->len - heads_end(r->got), 256 << 10);
+	CU_ASSERT_EQUAL(r->got->len - head_len(r->got), 256 << 10);
 	hrig_destroy(r);
 }
 
 static void
-on_shut(void *arg)
+on_shutdown(void *arg)
 {
 	struct hrig *r = arg;
 
 	CU_ASSERT_EQUAL(mh_hserve_open(r->s), 1);
 	CU_ASSERT_EQUAL(shutdown(r->peer_fd, SHUT_WR), 0);
-	r->turns = 0;
+	r->loop_count = 0;
 }
 
 static void
@@ -784,17 +784,17 @@
 	struct hrig *r = arg;
 
 	CU_ASSERT_EQUAL(mh_hserve_open(r->s), 1);
-	CU_ASSERT_TRUE(r->turns < 100);
+	CU_ASSERT_TRUE(r->loop_count < 100);
 }
 
 /*
- * A caller has sent its last request and shuts its sending side while a long
- * answer is under way, which it reads to the end, if late.  By HTTP it may;
- * the shut side was taken for a caller that had left, and the answer was
- * cut.  The server waits for the caller without turning its loop.
+ * A caller shuts down its sending side after its last request and reads a long
+ * response slowly, as HTTP permits.  The server must not take the end of file
+ * for a disconnect, which would truncate the response, and must not spin on the
+ * readable socket.
  */
 static void
-test_caller_that_shuts_its_side(void)
+test_caller_shuts_down_its_side(void)
 {
 	static const char *const texts[] = {
 		"GET /1 HTTP/1.1\r\nHost: h\r\n\r\n",
@@ -805,35 +805,35 @@
 	for (size_t i = 0; i < G_N_ELEMENTS(texts); i++) {
 		struct hrig *r = hrig_create();
 
-		mh_loop_before(r->loop, on_turn, r);
-		r->big = LONG_ANSWER;
+		mh_loop_before(r->loop, count_loop, r);
+		r->answer_bytes = LONG_ANSWER;
 		raw_slow(r, texts[i], 300 * MH_US_PER_MS);
-		mh_timer_start(r->k, 100 * MH_US_PER_MS, on_shut, r);
+		mh_timer_start(r->k, 100 * MH_US_PER_MS, on_shutdown, r);
 		mh_timer_start(r->k, 200 * MH_US_PER_MS, on_count, r);
 		run(r);
 		CU_ASSERT_EQUAL(r->raw_errno, 0);
-		CU_ASSERT_EQUAL(r->got->len - heads_end(r->got), LONG_ANSWER);
+		CU_ASSERT_EQUAL(r->got->len - head_len(r->got), LONG_ANSWER);
 		CU_ASSERT_EQUAL(mh_hserve_open(r->s), 0);
 		hrig_destroy(r);
 	}
 }
 
-/* One that closes in the middle of it is let go of at the next bytes. */
+/* One that closes the connection is dropped when the next bytes are sent. */
 static void
-test_caller_closes_in_an_answer(void)
+test_caller_closes_in_a_response(void)
 {
 	struct hrig *r = hrig_create();
 
-	r->big = LONG_ANSWER;
-	raw_slow(r, "GET /1 HTTP/1.1\r\nHost: h\r\n\r\n", 2 * LONGEST_US);
-	mh_timer_start(r->k, 100 * MH_US_PER_MS, leave, r);
-	mh_timer_start(r->k, 200 * MH_US_PER_MS, on_enough, r);
+	r->answer_bytes = LONG_ANSWER;
+	raw_slow(r, "GET /1 HTTP/1.1\r\nHost: h\r\n\r\n", 2 * TIMEOUT_US);
+	mh_timer_start(r->k, 100 * MH_US_PER_MS, close_peer, r);
+	mh_timer_start(r->k, 200 * MH_US_PER_MS, on_stop, r);
 	run(r);
 	CU_ASSERT_EQUAL(mh_hserve_open(r->s), 0);
 	hrig_destroy(r);
 }
 
-/* the end of a server */
+/* orderly shutdown of a server */
 
 static void
 on_finish(void *arg)
@@ -844,9 +844,9 @@
 static const char one_request[] = "GET /1 HTTP/1.1\r\nHost: h\r\n\r\n";
 
 /*
- * A server ends while callers hold connections that they may use again at
- * any moment.  Left open to the last they would be closed with whatever has
- * come on them; so they are closed in order while nothing has come.
+ * A server shuts down while callers keep idle connections that they may reuse
+ * at any time.  These must be closed before a request arrives; otherwise the
+ * final close would reset them with the request.
  */
 static void
 test_finish_closes_idle(void)
@@ -873,12 +873,12 @@
 }
 
 /*
- * A request comes on such a connection just before it would be closed, and
- * lies unread in the socket.  A close would reset the connection; the request
- * is read and answered, and the answer tells that the connection ends.
+ * A request arrives on such a connection just before it would be closed and is
+ * unread in the socket buffer.  It must be read and answered, with
+ * "Connection: close"; a close would reset the connection.
  */
 static void
-test_finish_reads_what_came(void)
+test_finish_reads_pending(void)
 {
 	struct hrig *r = hrig_create();
 
@@ -894,8 +894,8 @@
 }
 
 /*
- * The same for a caller whose connection the kernel has taken and the server
- * has not.  The next caller finds nobody listening.
+ * The same for a caller whose connection is still in the listen queue.  The
+ * next caller is refused.
  */
 static void
 test_finish_accepts_once_more(void)
@@ -930,15 +930,15 @@
 }
 
 /*
- * A caller sends an empty line behind its request, as some do behind a body.
- * The line counted as a request half read: a server that was to end waited
- * for the rest of it, and the caller was answered 408 for nothing.
+ * A caller sends an empty line after its request, as some do after a body.  It
+ * must not count as a partly read request; otherwise a shutdown waits for the
+ * rest, and the caller gets a needless 408.
  */
 static void
-test_empty_line_behind_a_request(void)
+test_empty_line_after_a_request(void)
 {
 	struct hrig *r = hrig_create();
-	struct mh_hlimits l = { 512, 64, 100 * MH_US_PER_MS, LONGEST_US };
+	struct mh_hlimits l = { 512, 64, 100 * MH_US_PER_MS, TIMEOUT_US };
 
 	mh_hserve_set_limits(r->s, &l);
 	raw(r, "GET /1 HTTP/1.1\r\nHost: h\r\n\r\n\r\n");
@@ -959,13 +959,13 @@
 	CU_ASSERT(send(r->peer_fd, "\r\nGE", 4, MSG_NOSIGNAL) > 0);
 }
 
-/* With a request's first letter behind it the request does count, and has
- * the time for a header and no more. */
+/* Once the first letter of a request follows the empty line, the request
+ * counts, and the header timeout applies to it. */
 static void
-test_letters_behind_an_empty_line(void)
+test_letters_after_an_empty_line(void)
 {
 	struct hrig *r = hrig_create();
-	struct mh_hlimits l = { 512, 64, 200 * MH_US_PER_MS, 2 * LONGEST_US };
+	struct mh_hlimits l = { 512, 64, 200 * MH_US_PER_MS, 2 * TIMEOUT_US };
 
 	mh_hserve_set_limits(r->s, &l);
 	raw(r, "GET /1 HTTP/1.1\r\nHost: h\r\n\r\n\r\n");
@@ -988,21 +988,21 @@
 }
 
 /*
- * A long answer is under way to a slow caller when the server begins to end.
- * The process may stop once nothing counts as open, so the connection counts
- * until the answer's last byte is with the kernel.
+ * A long response is being sent to a slow caller when the server begins to shut
+ * down.  The process may exit once no connection is active, so the connection
+ * must count until the kernel has accepted the last byte of the response.
  */
 static void
 test_finish_waits_for_bytes(void)
 {
 	struct hrig *r = hrig_create();
 
-	r->big = LONG_ANSWER;
+	r->answer_bytes = LONG_ANSWER;
 	raw_slow(r, one_request, 300 * MH_US_PER_MS);
 	mh_timer_start(r->k, 100 * MH_US_PER_MS, on_finish_and_count, r);
 	run(r);
 	CU_ASSERT_EQUAL(r->raw_errno, 0);
-	CU_ASSERT_EQUAL(r->got->len - heads_end(r->got), LONG_ANSWER);
+	CU_ASSERT_EQUAL(r->got->len - head_len(r->got), LONG_ANSWER);
 	CU_ASSERT_EQUAL(mh_hserve_open(r->s), 0);
 	hrig_destroy(r);
 }
@@ -1013,20 +1013,19 @@
 	struct hrig *r = arg;
 
 	CU_ASSERT_EQUAL(mh_hserve_open(r->s), 1);
-	mh_hreq_end(r->held);
+	mh_hreq_end(r->req);
 }
 
 /*
- * A stream began before the server was told to leave, so its head does not
- * say that the connection ends.  It runs to its end, and only then is the
- * connection closed, in order.
+ * A stream started before the shutdown, so its head has no "Connection: close".
+ * It must run to its end, and then the connection must be closed in order.
  */
 static void
 test_finish_lets_streams_end(void)
 {
 	struct hrig *r = hrig_create();
 
-	r->hold = true;
+	r->defer = true;
 	raw(r, one_request);
 	mh_timer_start(r->k, 50 * MH_US_PER_MS, on_first_half, r);
 	mh_timer_start(r->k, 100 * MH_US_PER_MS, on_finish_and_count, r);
@@ -1126,8 +1125,8 @@
 	g_free(text);
 }
 
-/** struct back - what a replica sends, and what the call says of it. */
-struct back {
+/** struct response_case - what a peer sends, and the outcome of the call. */
+struct response_case {
 	const char *name;
 	const char *script; /* NULL: closes without an answer */
 	bool reset;
@@ -1137,8 +1136,8 @@
 
 #define OK "HTTP/1.1 200 OK\r\n"
 
-static const struct back backs[] = {
-	{ "whole", OK "X-Id: a\r\nContent-length: 2\r\n\r\nhi", false,
+static const struct response_case response_cases[] = {
+	{ "complete", OK "X-Id: a\r\nContent-length: 2\r\n\r\nhi", false,
 	    MH_CALL_WHOLE, "hi" },
 	{ "chunks",
 	    OK "X-Id: a\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -1148,30 +1147,30 @@
 	    OK "Transfer-Encoding: chunked\r\n\r\n"
 	       "2\r\nhi\r\n",
 	    false, MH_CALL_BROKEN, "hi" },
-	{ "cut short", OK "Content-Length: 5\r\n\r\nhi", false, MH_CALL_BROKEN,
+	{ "truncated", OK "Content-Length: 5\r\n\r\nhi", false, MH_CALL_BROKEN,
 	    "hi" },
 	{ "no length, ends with the connection", OK "\r\nhi", false,
 	    MH_CALL_WHOLE, "hi" },
 	{ "no length, reset", OK "\r\nhi", true, MH_CALL_BROKEN, NULL },
-	{ "closed without an answer", NULL, false, MH_CALL_BROKEN, "" },
-	{ "no answer at all", "what\r\n\r\n", false, MH_CALL_UNREADABLE, "" },
-	{ "another's answer first",
+	{ "closed without a response", NULL, false, MH_CALL_BROKEN, "" },
+	{ "not HTTP", "what\r\n\r\n", false, MH_CALL_UNREADABLE, "" },
+	{ "response of another call first",
 	    OK "X-Id: z\r\nContent-length: 3\r\n\r\nnot" OK
 	       "X-Id: a\r\nContent-length: 2\r\n\r\nhi",
 	    false, MH_CALL_WHOLE, "hi" },
-	{ "bytes behind the answer",
+	{ "bytes after the response",
 	    OK "X-Id: a\r\nContent-length: 2\r\n\r\nhiHTTP/1.1 200 O", false,
 	    MH_CALL_WHOLE, "hi" },
-	{ "a hint before it",
+	{ "an interim response first",
 	    "HTTP/1.1 103 Early Hints\r\n\r\n" OK "Content-length: 2\r\n\r\nhi",
 	    false, MH_CALL_WHOLE, "hi" },
 };
 
 static void
-test_backs(void)
+test_responses(void)
 {
-	for (size_t i = 0; i < G_N_ELEMENTS(backs); i++) {
-		const struct back *b = &backs[i];
+	for (size_t i = 0; i < G_N_ELEMENTS(response_cases); i++) {
+		const struct response_case *b = &response_cases[i];
 		struct hrig *r = hrig_create();
 
 		listen_raw(r);
@@ -1181,7 +1180,7 @@
 		call(r, "a");
 		run(r);
 		if (r->end != b->end)
-			fprintf(stderr, "back: %s\n", b->name);
+			fprintf(stderr, "response: %s\n", b->name);
 		CU_ASSERT_EQUAL(r->end, b->end);
 		if (b->body != NULL)
 			CU_ASSERT_STRING_EQUAL(r->got->str, b->body);
@@ -1189,9 +1188,10 @@
 	}
 }
 
-/* A sound connection is kept for the next call; one with a stray is not. */
+/* A connection is reused for the next call, but not after a response of
+ * another call. */
 static void
-test_kept_or_not(void)
+test_reuse(void)
 {
 	struct hrig *r = hrig_create();
 
@@ -1215,7 +1215,7 @@
 	hrig_destroy(r);
 }
 
-/* Nobody listens: certainly not sent. */
+/* If nothing listens at the address the request is reported as not sent. */
 static void
 test_unsent(void)
 {
@@ -1238,46 +1238,49 @@
 }
 
 const struct test tests_http[] = {
-	{ "serve: what is passed on, what is refused", test_wires },
+	{ "serve: requests passed on and refused", test_requests },
 	{ "serve: a header over the limit", test_header_over_the_limit },
 	{ "serve: the target unchanged", test_target_unchanged },
 	{ "serve: two on one connection", test_two_on_one_connection },
 	{ "serve: the caller closes", test_caller_closes },
-	{ "serve: a broken answer", test_broken_answer },
-	{ "serve: a slow caller, to be closed", test_slow_caller_that_closes },
+	{ "serve: aborted response", test_aborted_response },
+	{ "serve: a slow caller and Connection: close",
+	    test_slow_caller_that_closes },
 	{ "serve: a caller that pauses", test_caller_that_pauses },
 	{ "serve: a slow caller is not idle", test_slow_caller_is_not_idle },
-	{ "serve: two long answers", test_two_long_answers },
-	{ "serve: bytes behind the last request",
-	    test_bytes_behind_the_last_request },
-	{ "serve: a body behind a request", test_body_behind_a_request },
-	{ "serve: go on, behind a request", test_go_on_behind_a_request },
-	{ "serve: no going on for old callers", test_no_go_on_for_old_callers },
-	{ "serve: a broken answer without a frame",
-	    test_broken_answer_without_a_frame },
-	{ "serve: the end within an answer without a frame",
-	    test_end_within_an_answer_without_a_frame },
-	{ "serve: an answer at the end", test_answer_at_the_end },
-	{ "serve: the end with unread bytes", test_end_with_unread_bytes },
-	{ "serve: late bytes", test_late_bytes },
+	{ "serve: two long responses", test_two_long_responses },
+	{ "serve: bytes after the last request",
+	    test_bytes_after_the_last_request },
+	{ "serve: a body after a request", test_body_after_a_request },
+	{ "serve: 100 Continue after a request",
+	    test_continue_after_a_request },
+	{ "serve: no 100 Continue for HTTP/1.0", test_no_continue_for_http10 },
+	{ "serve: aborted unframed response", test_aborted_unframed_response },
+	{ "serve: stop within an unframed response",
+	    test_stop_within_unframed_response },
+	{ "serve: a response after the loop stopped",
+	    test_response_after_loop_stop },
+	{ "serve: stop with unread input", test_stop_with_unread_input },
+	{ "serve: bytes after the response", test_bytes_after_the_response },
 	{ "serve: a request at the idle limit",
 	    test_request_at_the_idle_limit },
-	{ "serve: no file left", test_no_file_left },
-	{ "serve: a caller that shuts its side",
-	    test_caller_that_shuts_its_side },
-	{ "serve: the caller closes in an answer",
-	    test_caller_closes_in_an_answer },
-	{ "serve: the end closes idle connections", test_finish_closes_idle },
-	{ "serve: the end reads what came", test_finish_reads_what_came },
-	{ "serve: the end accepts once more", test_finish_accepts_once_more },
-	{ "serve: an empty line behind a request",
-	    test_empty_line_behind_a_request },
-	{ "serve: letters behind an empty line",
-	    test_letters_behind_an_empty_line },
-	{ "serve: the end waits for bytes", test_finish_waits_for_bytes },
-	{ "serve: the end lets streams end", test_finish_lets_streams_end },
-	{ "call: what a replica sends", test_backs },
-	{ "call: kept or not", test_kept_or_not },
+	{ "serve: no free file descriptor", test_no_free_descriptor },
+	{ "serve: a caller that shuts down its side",
+	    test_caller_shuts_down_its_side },
+	{ "serve: the caller closes in a response",
+	    test_caller_closes_in_a_response },
+	{ "serve: shutdown closes idle connections", test_finish_closes_idle },
+	{ "serve: shutdown reads pending requests", test_finish_reads_pending },
+	{ "serve: shutdown accepts once more", test_finish_accepts_once_more },
+	{ "serve: an empty line after a request",
+	    test_empty_line_after_a_request },
+	{ "serve: letters after an empty line",
+	    test_letters_after_an_empty_line },
+	{ "serve: shutdown waits for unsent bytes",
+	    test_finish_waits_for_bytes },
+	{ "serve: shutdown lets streams end", test_finish_lets_streams_end },
+	{ "call: responses of a peer", test_responses },
+	{ "call: reuse of connections", test_reuse },
 	{ "call: not sent", test_unsent },
 	{ NULL, NULL },
 };
--- a/regress/t_relay.c
+++ b/regress/t_relay.c
@@ -1,7 +1,7 @@
 /**
- * DOC: The client and the server with a relay between them that splits and
- * delays bytes at drawn places, and cuts: what comes out is what went in, or
- * visibly broken.
+ * DOC: The client and the server, connected through a relay that splits and
+ * delays bytes at random places and cuts connections.  Each response must
+ * arrive unchanged or be reported as broken.
  */
 
 #include "gate.h"
@@ -14,64 +14,64 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-#define LONGEST_US (30 * MH_US_PER_S)
+#define TIMEOUT_US (30 * MH_US_PER_S)
 #define SEEDS 8
 #define CALLS 60
-#define AT_ONCE 4
-#define MOST_BODY 20000
-#define MOST_PART 3000
-/* Bytes that a relay holds for one side before it stops reading the other. */
-#define MOST_HELD (32U << 10)
+#define CONCURRENT 4
+#define MAX_BODY 20000
+#define MAX_PART 3000
+/* Bytes that a relay buffers for one side before it stops reading the other. */
+#define MAX_BUFFERED (32U << 10)
 
 struct relay;
 
-/** struct side - one end of a relay's pair, and what is to leave by it. */
+/** struct side - one connection of a relay, and the bytes to be sent on it. */
 struct side {
 	struct relay *r;
 	int fd;
 	GString *out;
-	bool ended; /* the other side sends no more */
-	struct mh_timer *later;
+	bool ended; /* end of file on the other side */
+	struct mh_timer *timer;
 };
 
 struct relay {
-	struct play *p;
+	struct session *p;
 	struct side caller;
 	struct side server;
-	int64_t cut_after; /* bytes to the caller; below 0: never */
+	int64_t cut_after; /* bytes sent to the caller; < 0: never */
 };
 
-/** struct plan - what a request's number says of it. */
+/** struct plan - properties of a request, derived from its number. */
 struct plan {
 	uint32_t n;
-	bool old; /* HTTP/1.0 */
-	bool sends_chunks;
-	size_t asked; /* bytes of the request's body */
-	bool told; /* the answer has a length */
-	size_t answered;
-	bool breaks; /* behind half of the answer */
+	bool http10;
+	bool request_chunked;
+	size_t request_bytes; /* of the body */
+	bool has_length; /* the response declares its length */
+	size_t response_bytes; /* of the body */
+	bool aborts; /* after half of the response */
 };
 
 struct answer {
-	struct play *p;
+	struct session *p;
 	struct plan plan;
 	struct mh_hreq *q;
 	size_t off;
-	struct mh_timer *later;
+	struct mh_timer *timer;
 };
 
-struct ask {
-	struct play *p;
+struct call {
+	struct session *p;
 	struct plan plan;
 	GString *got;
 };
 
-/** struct play - one seed. */
-struct play {
+/** struct session - the calls of one seed. */
+struct session {
 	uint32_t seed;
 	GRand *rand;
 	bool cuts;
-	bool hard; /* a cut is a reset */
+	bool with_reset; /* a cut is a reset */
 	struct mh_kern *k;
 	struct mh_loop *loop;
 	struct mh_hserve *s;
@@ -80,38 +80,40 @@
 	int listen_fd;
 	GHashTable *relays; /* set of struct relay */
 	GHashTable *answers; /* set of struct answer */
-	uint32_t begun;
+	uint32_t started;
 	uint32_t ended;
-	uint32_t whole;
-	uint32_t wrong;
+	uint32_t complete;
+	uint32_t faults;
 };
 
 /*
- * An answer to HTTP/1.0 may end with the connection; cut by a close in order
- * it is whole by the protocol.
+ * A response to HTTP/1.0 may end with the connection, so one that is cut by an
+ * orderly close is complete by the protocol.  Sessions that cut in this way
+ * send no HTTP/1.0 requests.
  */
 static void
-draw(const struct play *play, struct plan *p, uint32_t n)
+draw_plan(const struct session *s, struct plan *p, uint32_t n)
 {
 	GRand *g = g_rand_new_with_seed(n);
 
 	p->n = n;
-	p->old = g_rand_int_range(g, 0, 4) == 0 && (play->hard || !play->cuts);
-	p->sends_chunks = !p->old && g_rand_boolean(g);
-	p->asked = (size_t)g_rand_int_range(g, 0, MOST_PART);
-	p->told = g_rand_boolean(g);
-	p->answered = (size_t)g_rand_int_range(g, 0, MOST_BODY);
+	p->http10 =
+	    g_rand_int_range(g, 0, 4) == 0 && (s->with_reset || !s->cuts);
+	p->request_chunked = !p->http10 && g_rand_boolean(g);
+	p->request_bytes = (size_t)g_rand_int_range(g, 0, MAX_PART);
+	p->has_length = g_rand_boolean(g);
+	p->response_bytes = (size_t)g_rand_int_range(g, 0, MAX_BODY);
 	if (g_rand_int_range(g, 0, 6) == 0)
-		p->answered = 0;
-	/* One without a body has its end in its head. */
-	p->breaks =
-	    g_rand_int_range(g, 0, 5) == 0 && (p->answered > 0 || !p->told);
+		p->response_bytes = 0;
+	/* Without a body the head is the whole response. */
+	p->aborts = g_rand_int_range(g, 0, 5) == 0 &&
+	    (p->response_bytes > 0 || !p->has_length);
 	g_rand_free(g);
 }
 
-/* The bytes of a body; some of them look like lines, sizes and heads. */
+/* The bytes of a body; some look like line ends, chunk sizes and heads. */
 static char *
-bytes_of(uint32_t n, size_t len)
+body_of(uint32_t n, size_t len)
 {
 	static const char *const parts[] = { "\r\n", "0\r\n\r\n", "\r", "x",
 		"HTTP/1.1 200 OK\r\n", "\n\n", "5;y\r\n", "data: z\n\n" };
@@ -128,11 +130,11 @@
 }
 
 static void
-wrong(struct play *p, const struct plan *plan, const char *what)
+report_fault(struct session *p, const struct plan *plan, const char *what)
 {
 	fprintf(
 	    stderr, "relay: seed %u, request %u: %s\n", p->seed, plan->n, what);
-	p->wrong++;
+	p->faults++;
 }
 
 /* the relay */
@@ -140,12 +142,12 @@
 static void on_side(void *arg, bool readable, bool writable);
 
 static void
-close_side(struct side *s, bool hard)
+close_side(struct side *s, bool with_reset)
 {
 	struct linger l = { 1, 0 };
 
-	mh_timer_stop(s->r->p->k, &s->later);
-	if (hard)
+	mh_timer_stop(s->r->p->k, &s->timer);
+	if (with_reset)
 		setsockopt(s->fd, SOL_SOCKET, SO_LINGER, &l, sizeof(l));
 	mh_loop_fd_close(s->r->p->loop, s->fd);
 	close(s->fd);
@@ -153,10 +155,10 @@
 }
 
 static void
-close_relay(struct relay *r, bool hard)
+close_relay(struct relay *r, bool with_reset)
 {
-	close_side(&r->caller, hard);
-	close_side(&r->server, hard);
+	close_side(&r->caller, with_reset);
+	close_side(&r->server, with_reset);
 	g_hash_table_remove(r->p->relays, r);
 	g_free(r);
 }
@@ -168,32 +170,32 @@
 }
 
 static void
-want(struct side *s)
+update_read(struct side *s)
 {
 	struct side *o = other_side(s);
 
-	mh_loop_fd(s->r->p->loop, s->fd, !o->ended && o->out->len < MOST_HELD,
-	    false, on_side, s);
+	mh_loop_fd(s->r->p->loop, s->fd,
+	    !o->ended && o->out->len < MAX_BUFFERED, false, on_side, s);
 }
 
-static void on_later(void *arg);
+static void on_timer(void *arg);
 
 static void
-go_on(struct side *s)
+schedule_send(struct side *s)
 {
-	struct play *p = s->r->p;
+	struct session *p = s->r->p;
 
-	if (s->later == NULL && (s->out->len > 0 || s->ended))
-		s->later = mh_timer_start(
-		    p->k, g_rand_int_range(p->rand, 0, 300), on_later, s);
+	if (s->timer == NULL && (s->out->len > 0 || s->ended))
+		s->timer = mh_timer_start(
+		    p->k, g_rand_int_range(p->rand, 0, 300), on_timer, s);
 }
 
-/* Sends some of what is held; returns false if the relay has ended. */
+/* Sends some of the buffered bytes; returns false if the relay was closed. */
 static bool
 send_some(struct side *s)
 {
 	struct relay *r = s->r;
-	size_t most = (size_t)g_rand_int_range(r->p->rand, 1, MOST_PART);
+	size_t most = (size_t)g_rand_int_range(r->p->rand, 1, MAX_PART);
 	size_t n = MIN(s->out->len, most);
 	ssize_t sent;
 
@@ -209,7 +211,7 @@
 	if (s == &r->caller && r->cut_after >= 0) {
 		r->cut_after -= MAX(sent, 0);
 		if (r->cut_after == 0) {
-			close_relay(r, r->p->hard);
+			close_relay(r, r->p->with_reset);
 			return false;
 		}
 	}
@@ -217,11 +219,11 @@
 }
 
 static void
-on_later(void *arg)
+on_timer(void *arg)
 {
 	struct side *s = arg;
 
-	s->later = NULL;
+	s->timer = NULL;
 	if (s->out->len > 0 && !send_some(s))
 		return;
 	if (s->out->len == 0 && s->ended) {
@@ -230,8 +232,8 @@
 			close_relay(s->r, false);
 		return;
 	}
-	want(other_side(s));
-	go_on(s);
+	update_read(other_side(s));
+	schedule_send(s);
 }
 
 static void
@@ -239,7 +241,7 @@
 {
 	struct side *s = arg;
 	struct side *o = other_side(s);
-	char buf[MOST_PART];
+	char buf[MAX_PART];
 	ssize_t n = recv(s->fd, buf,
 	    (size_t)g_rand_int_range(s->r->p->rand, 1, sizeof(buf)),
 	    MSG_DONTWAIT);
@@ -255,14 +257,14 @@
 	if (n == 0)
 		o->ended = true;
 	g_string_append_len(o->out, buf, n);
-	want(s);
-	go_on(o);
+	update_read(s);
+	schedule_send(o);
 }
 
 static void
 on_accept(void *arg, bool readable, bool writable)
 {
-	struct play *p = arg;
+	struct session *p = arg;
 	struct relay *r = g_new0(struct relay, 1);
 
 	(void)readable;
@@ -274,11 +276,11 @@
 	r->caller.out = g_string_new(NULL);
 	r->server.out = g_string_new(NULL);
 	r->cut_after = p->cuts && g_rand_boolean(p->rand)
-	    ? g_rand_int_range(p->rand, 1, 3 * MOST_BODY)
+	    ? g_rand_int_range(p->rand, 1, 3 * MAX_BODY)
 	    : -1;
 	g_hash_table_add(p->relays, r);
-	want(&r->caller);
-	want(&r->server);
+	update_read(&r->caller);
+	update_read(&r->server);
 }
 
 /* the server */
@@ -287,22 +289,23 @@
 write_part(void *arg)
 {
 	struct answer *a = arg;
-	struct play *p = a->p;
-	size_t half = a->plan.breaks ? a->plan.answered / 2 : a->plan.answered;
-	size_t part = (size_t)g_rand_int_range(p->rand, 1, MOST_PART);
+	struct session *p = a->p;
+	size_t half = a->plan.aborts ? a->plan.response_bytes / 2
+				     : a->plan.response_bytes;
+	size_t part = (size_t)g_rand_int_range(p->rand, 1, MAX_PART);
 	size_t n = MIN(half - a->off, part);
-	char *bytes = bytes_of(a->plan.n, a->plan.answered);
+	char *bytes = body_of(a->plan.n, a->plan.response_bytes);
 
-	a->later = NULL;
+	a->timer = NULL;
 	mh_hreq_write(a->q, bytes + a->off, n);
 	g_free(bytes);
 	a->off += n;
 	if (a->off < half) {
-		a->later = mh_timer_start(
+		a->timer = mh_timer_start(
 		    p->k, g_rand_int_range(p->rand, 0, 300), write_part, a);
 		return;
 	}
-	if (a->plan.breaks)
+	if (a->plan.aborts)
 		mh_hreq_break(a->q);
 	else
 		mh_hreq_end(a->q);
@@ -313,61 +316,63 @@
 static void
 on_request(void *arg, struct mh_hreq *q)
 {
-	struct play *p = arg;
+	struct session *p = arg;
 	struct answer *a = g_new0(struct answer, 1);
 	const GByteArray *body = mh_hreq_body(q);
 	struct mh_headers *h = mh_headers_create();
 	const char *id = mh_hreq_target(q) + 1;
-	char *asked;
-
-	draw(p, &a->plan, (uint32_t)g_ascii_strtoull(id, NULL, 10));
-	asked = bytes_of(a->plan.n + 1, a->plan.asked);
-	if (body->len != a->plan.asked ||
-	    (body->len > 0 && memcmp(body->data, asked, body->len) != 0))
-		wrong(p, &a->plan, "the server got another body");
-	g_free(asked);
+	char *expected;
+
+	draw_plan(p, &a->plan, (uint32_t)g_ascii_strtoull(id, NULL, 10));
+	expected = body_of(a->plan.n + 1, a->plan.request_bytes);
+	if (body->len != a->plan.request_bytes ||
+	    (body->len > 0 && memcmp(body->data, expected, body->len) != 0))
+		report_fault(p, &a->plan, "the server received another body");
+	g_free(expected);
 	a->p = p;
 	a->q = q;
 	g_hash_table_add(p->answers, a);
 	mh_hreq_set_data(q, a);
 	mh_headers_add(h, "X-Id", id);
-	mh_hreq_head(q, 200, h, a->plan.told ? (int64_t)a->plan.answered : -1);
+	mh_hreq_head(q, 200, h,
+	    a->plan.has_length ? (int64_t)a->plan.response_bytes : -1);
 	mh_headers_destroy(h);
 	write_part(a);
 }
 
 static void
-on_gone(void *arg, struct mh_hreq *q)
+on_disconnect(void *arg, struct mh_hreq *q)
 {
-	struct play *p = arg;
+	struct session *p = arg;
 	struct answer *a = mh_hreq_data(q);
 
-	mh_timer_stop(p->k, &a->later);
+	mh_timer_stop(p->k, &a->timer);
 	g_hash_table_remove(p->answers, a);
 	g_free(a);
 }
 
 /* the client */
 
-static void ask(struct play *p);
+static void start_call(struct session *p);
 
 static void
 on_head(void *arg, uint32_t status, const struct mh_headers *h, int64_t length)
 {
-	struct ask *a = arg;
+	struct call *a = arg;
 	char id[16];
 
 	g_snprintf(id, sizeof(id), "%u", a->plan.n);
 	if (status != 200 || g_strcmp0(mh_headers_get(h, "X-Id"), id) != 0)
-		wrong(a->p, &a->plan, "another answer");
-	if (length != (a->plan.told ? (int64_t)a->plan.answered : -1))
-		wrong(a->p, &a->plan, "another length");
+		report_fault(a->p, &a->plan, "response of another call");
+	if (length !=
+	    (a->plan.has_length ? (int64_t)a->plan.response_bytes : -1))
+		report_fault(a->p, &a->plan, "another length");
 }
 
 static void
 on_data(void *arg, const char *data, size_t len)
 {
-	struct ask *a = arg;
+	struct call *a = arg;
 
 	g_string_append_len(a->got, data, (gssize)len);
 }
@@ -375,61 +380,64 @@
 static void
 on_done(void *arg, enum mh_hcall_end end)
 {
-	struct ask *a = arg;
-	struct play *p = a->p;
-	char *bytes = bytes_of(a->plan.n, a->plan.answered);
-	bool all = a->got->len == a->plan.answered;
-	bool whole = end == MH_CALL_WHOLE;
+	struct call *a = arg;
+	struct session *p = a->p;
+	char *bytes = body_of(a->plan.n, a->plan.response_bytes);
+	bool all = a->got->len == a->plan.response_bytes;
+	bool complete = end == MH_CALL_WHOLE;
 
-	if (a->got->len > a->plan.answered ||
+	if (a->got->len > a->plan.response_bytes ||
 	    memcmp(a->got->str, bytes, a->got->len) != 0)
-		wrong(p, &a->plan, "other bytes");
-	if (whole && (!all || a->plan.breaks))
-		wrong(p, &a->plan, "half of it, or broken, and whole");
-	if (!whole && !a->plan.breaks && !p->cuts)
-		wrong(p, &a->plan, "not whole, and nothing broke");
-	p->whole += whole;
+		report_fault(p, &a->plan, "other bytes");
+	if (complete && (!all || a->plan.aborts))
+		report_fault(
+		    p, &a->plan, "truncated or aborted, but reported complete");
+	if (!complete && !a->plan.aborts && !p->cuts)
+		report_fault(
+		    p, &a->plan, "reported broken, but nothing was cut");
+	p->complete += complete;
 	p->ended++;
 	g_free(bytes);
 	g_string_free(a->got, TRUE);
 	g_free(a);
-	if (p->begun < CALLS)
-		ask(p);
+	if (p->started < CALLS)
+		start_call(p);
 	else if (p->ended == CALLS)
 		mh_loop_stop(p->loop);
 }
 
 static GBytes *
-text_of(const struct plan *p)
+request_of(const struct plan *p)
 {
 	GString *g = g_string_new(NULL);
-	char *body = bytes_of(p->n + 1, p->asked);
+	char *body = body_of(p->n + 1, p->request_bytes);
 
-	g_string_printf(g, "POST /%u HTTP/1.%d\r\nHost: h\r\n", p->n, !p->old);
-	if (p->sends_chunks && p->asked > 0)
+	g_string_printf(
+	    g, "POST /%u HTTP/1.%d\r\nHost: h\r\n", p->n, !p->http10);
+	if (p->request_chunked && p->request_bytes > 0)
 		g_string_append_printf(
 		    g, "Transfer-Encoding: chunked\r\n\r\n1\r\n%.1s\r\n", body);
 	else
 		g_string_append_printf(
-		    g, "Content-Length: %zu\r\n\r\n", p->asked);
-	if (p->sends_chunks && p->asked > 1)
-		g_string_append_printf(g, "%zx;x\r\n", p->asked - 1);
-	if (p->sends_chunks && p->asked > 0)
-		g_string_append_len(g, body + 1, (gssize)p->asked - 1);
+		    g, "Content-Length: %zu\r\n\r\n", p->request_bytes);
+	if (p->request_chunked && p->request_bytes > 1)
+		g_string_append_printf(g, "%zx;x\r\n", p->request_bytes - 1);
+	if (p->request_chunked && p->request_bytes > 0)
+		g_string_append_len(g, body + 1, (gssize)p->request_bytes - 1);
 	else
-		g_string_append_len(g, body, (gssize)p->asked);
-	if (p->sends_chunks && p->asked > 1)
+		g_string_append_len(g, body, (gssize)p->request_bytes);
+	if (p->request_chunked && p->request_bytes > 1)
 		g_string_append(g, "\r\n");
-	if (p->sends_chunks && p->asked > 0)
+	if (p->request_chunked && p->request_bytes > 0)
 		g_string_append(g, "0\r\n\r\n");
 	g_free(body);
 	return g_string_free_to_bytes(g);
 }
 
 static void
-ask(struct play *p)
+start_call(struct session *p)
 {
-	struct ask *a = g_new0(struct ask, 1);
+	struct call *a = g_new0(struct call, 1);
 	struct mh_hcall_args args = { .addr = p->addr,
 		.peer = "peer",
 		.echo_name = "X-Id",
@@ -439,27 +447,27 @@
 
 	a->p = p;
 	a->got = g_string_new(NULL);
-	draw(p, &a->plan, p->seed * 1000 + p->begun++);
+	draw_plan(p, &a->plan, p->seed * 1000 + p->started++);
 	g_snprintf(id, sizeof(id), "%u", a->plan.n);
 	args.echo = id;
-	args.text = text_of(&a->plan);
+	args.text = request_of(&a->plan);
 	mh_hcalls_start(p->calls, &args);
 	g_bytes_unref(args.text);
 }
 
-static struct play *
-play_create(uint32_t seed, bool cuts)
+static struct session *
+session_create(uint32_t seed, bool cuts)
 {
-	struct play *p = g_new0(struct play, 1);
+	struct session *p = g_new0(struct session, 1);
 	struct mh_hserve_args a = { .listen = "127.0.0.1:0",
-		.limits = { 1024, MOST_PART, LONGEST_US, LONGEST_US },
+		.limits = { 1024, MAX_PART, TIMEOUT_US, TIMEOUT_US },
 		.on_request = on_request,
-		.on_gone = on_gone,
+		.on_gone = on_disconnect,
 		.arg = p };
 
 	p->seed = seed;
 	p->cuts = cuts;
-	p->hard = seed % 2 == 1;
+	p->with_reset = seed % 2 == 1;
 	p->rand = g_rand_new_with_seed(seed);
 	p->k = mh_kern_create(seed);
 	p->loop = mh_loop_create(p->k, NULL);
@@ -473,12 +481,12 @@
 }
 
 static void
-play_destroy(struct play *p)
+session_destroy(struct session *p)
 {
 	GList *all = g_hash_table_get_keys(p->answers);
 
 	for (GList *l = all; l != NULL; l = l->next)
-		on_gone(p, ((struct answer *)l->data)->q);
+		on_disconnect(p, ((struct answer *)l->data)->q);
 	g_list_free(all);
 	all = g_hash_table_get_keys(p->relays);
 	for (GList *l = all; l != NULL; l = l->next)
@@ -497,38 +505,38 @@
 }
 
 static void
-play(uint32_t seed, bool cuts)
+run_session(uint32_t seed, bool cuts)
 {
-	struct play *p = play_create(seed, cuts);
+	struct session *p = session_create(seed, cuts);
 	bool in_time;
 
-	for (int i = 0; i < AT_ONCE; i++)
-		ask(p);
-	in_time = run_most(p->k, p->loop, LONGEST_US);
+	for (int i = 0; i < CONCURRENT; i++)
+		start_call(p);
+	in_time = run_most(p->k, p->loop, TIMEOUT_US);
 	if (!in_time)
 		fprintf(stderr, "relay: seed %u: %u of %u ended\n", seed,
 		    p->ended, CALLS);
 	CU_ASSERT_TRUE(in_time);
-	CU_ASSERT_EQUAL(p->wrong, 0);
-	/* Else the seed shows nothing. */
-	CU_ASSERT(p->whole > CALLS / 4);
-	play_destroy(p);
+	CU_ASSERT_EQUAL(p->faults, 0);
+	/* Otherwise the seed tests nothing. */
+	CU_ASSERT(p->complete > CALLS / 4);
+	session_destroy(p);
 }
 
-/* Bytes are lost, doubled or mixed where TCP splits them. */
+/* Guards against bytes lost, repeated or mixed up where TCP splits them. */
 static void
 test_split(void)
 {
 	for (uint32_t s = regress_first(1); s <= regress_last(SEEDS); s++)
-		play(s, false);
+		run_session(s, false);
 }
 
-/* An answer that was cut on the way looks whole. */
+/* Guards against a response that is cut in transit and looks complete. */
 static void
 test_cut(void)
 {
 	for (uint32_t s = regress_first(1); s <= regress_last(SEEDS); s++)
-		play(s, true);
+		run_session(s, true);
 }
 
 const struct test tests_relay[] = {
--- a/regress/t_sse.c
+++ b/regress/t_sse.c
@@ -1,5 +1,5 @@
 /**
- * DOC: Events of a stream, read as they come.
+ * DOC: The reader of server-sent events.
  */
 
 #include "gate.h"
@@ -7,11 +7,11 @@
 
 #include <string.h>
 
-/* Bytes of the longest event that is passed on, by MAX_EVENT in sse.c. */
-#define LONGEST_EVENT ((size_t)1 << 20)
-#define PIECE 4096
+/* Bytes of the longest event that is passed on, as MAX_EVENT in sse.c. */
+#define MAX_EVENT ((size_t)1 << 20)
+#define PART_BYTES 4096
 
-/* Events are passed on as they become whole, wherever they are split. */
+/* Events are passed on when complete, wherever the data is split. */
 static void
 test_split_anywhere(void)
 {
@@ -44,7 +44,7 @@
 	}
 }
 
-/* An event that ends with a CR waits for no byte behind it. */
+/* An event that ends with CR is passed on without waiting for a next byte. */
 static void
 test_ends_with_cr(void)
 {
@@ -61,22 +61,23 @@
 	mh_cursor_destroy(c);
 }
 
-/* An event without an end takes no more memory than the longest allowed. */
+/* An event without an end uses no more memory than the longest one allowed. */
 static void
 test_event_without_end(void)
 {
 	struct mh_cursor *c = mh_cursor_create(NULL, true);
 	struct mh_sse *s = mh_sse_create(c, MH_IDS_UNKNOWN);
 	GString *out = g_string_new(NULL);
-	char piece[PIECE];
+	char part[PART_BYTES];
 	enum mh_sse_fault f = MH_SSE_GOOD;
 	size_t fed;
 
-	memset(piece, 'x', sizeof(piece));
-	for (fed = 0; f == MH_SSE_GOOD && fed < 2 * LONGEST_EVENT; fed += PIECE)
-		f = mh_sse_feed(s, piece, PIECE, out);
+	memset(part, 'x', sizeof(part));
+	for (fed = 0; f == MH_SSE_GOOD && fed < 2 * MAX_EVENT;
+	     fed += PART_BYTES)
+		f = mh_sse_feed(s, part, PART_BYTES, out);
 	CU_ASSERT_EQUAL(f, MH_SSE_TOO_LONG);
-	CU_ASSERT_EQUAL(fed, LONGEST_EVENT + PIECE);
+	CU_ASSERT_EQUAL(fed, MAX_EVENT + PART_BYTES);
 	CU_ASSERT_EQUAL(out->len, 0);
 	g_string_free(out, TRUE);
 	mh_sse_destroy(s);
--- a/regress/t_wire.c
+++ b/regress/t_wire.c
@@ -1,7 +1,9 @@
 /**
- * DOC: Whole answers on the wire, and those that are not: the client against
- * a scripted peer that tears, the server against raw callers, and both with a
- * relay between them that splits, delays and cuts.
+ * DOC: Framing of HTTP messages, complete, truncated and malformed: the client
+ * against a scripted peer, and the server against callers that send raw bytes.
+ *
+ * Unless it says otherwise the comment before a test names the fault that the
+ * test guards against.
  */
 
 #include "gate.h"
@@ -17,31 +19,31 @@
 #include <sys/wait.h>
 #include <unistd.h>
 
-#define LONGEST_US (10 * MH_US_PER_S)
-/* A call that has not ended by then waits for more bytes. */
-#define QUIET_US (150 * MH_US_PER_MS)
-/* An answer without an end is left at this. */
-#define ENDLESS ((size_t)24 << 20)
+#define TIMEOUT_US (10 * MH_US_PER_S)
+/* A call that has not ended by then is waiting for more bytes. */
+#define WAIT_US (150 * MH_US_PER_MS)
+/* Bytes after which the peer gives up an endless response. */
+#define MAX_ENDLESS ((size_t)24 << 20)
 
-enum then { STAY, CLOSE, RESET };
+enum peer_end { STAY, CLOSE, RESET };
 
-/** struct wrig - a loop, a server, a client and a raw peer of one of them. */
+/** struct wrig - a loop, a server or a client, and its raw peer. */
 struct wrig {
 	struct mh_kern *k;
 	struct mh_loop *loop;
-	/* the client's peer */
+	/* the client and its peer */
 	struct mh_hcalls *calls;
 	char addr[32];
 	int listen_fd;
 	int peer_fd;
 	uint32_t accepted;
-	GString *script; /* what it answers */
+	GString *script; /* response of the peer */
 	size_t sent;
-	size_t step; /* bytes of a send, 0: all */
-	enum then then;
-	bool read_once; /* it reads the request's first bytes alone */
-	const char *unit; /* repeated behind the script without an end */
-	struct mh_timer *more;
+	size_t step; /* bytes per send, 0: all at once */
+	enum peer_end peer_end;
+	bool read_once; /* the peer reads only the request's first bytes */
+	const char *unit; /* repeated after the script without an end */
+	struct mh_timer *send_timer;
 	/* the call */
 	struct mh_hcall *call;
 	uint32_t heads;
@@ -53,21 +55,21 @@
 	GString *body;
 	bool abort_in_head;
 	bool abort_in_data;
-	bool start_again; /* behind an abort, in the same callback */
+	bool start_again; /* after an abort, in the same callback */
 	/* the server and its raw caller */
 	struct mh_hserve *s;
 	void (*serve)(struct wrig *r, struct mh_hreq *q);
-	struct mh_hreq *held;
+	struct mh_hreq *req;
 	uint32_t requests;
-	uint32_t gone;
+	uint32_t disconnects;
 	GString *got;
-	int raw_errno; /* 0: the connection ended in order */
+	int raw_errno; /* 0: orderly close */
 };
 
 static void
 run(struct wrig *r)
 {
-	CU_ASSERT_TRUE(run_most(r->k, r->loop, LONGEST_US));
+	CU_ASSERT_TRUE(run_most(r->k, r->loop, TIMEOUT_US));
 }
 
 static struct wrig *
@@ -86,14 +88,14 @@
 }
 
 static void
-end_peer(struct wrig *r, enum then then)
+end_peer(struct wrig *r, enum peer_end peer_end)
 {
 	struct linger hard = { 1, 0 };
 
-	mh_timer_stop(r->k, &r->more);
+	mh_timer_stop(r->k, &r->send_timer);
 	if (r->peer_fd < 0)
 		return;
-	if (then == RESET)
+	if (peer_end == RESET)
 		setsockopt(
 		    r->peer_fd, SOL_SOCKET, SO_LINGER, &hard, sizeof(hard));
 	mh_loop_fd_close(r->loop, r->peer_fd);
@@ -130,18 +132,18 @@
 	size_t left = r->script->len - r->sent;
 	size_t n = r->step == 0 ? left : MIN(left, r->step);
 
-	r->more = NULL;
+	r->send_timer = NULL;
 	if (n > 0 &&
 	    send(r->peer_fd, r->script->str + r->sent, n, MSG_NOSIGNAL) < 0)
 		return;
 	r->sent += n;
 	if (r->sent < r->script->len)
-		r->more = mh_timer_start(r->k, 0, send_more, r);
-	else if (r->then != STAY)
-		end_peer(r, r->then);
+		r->send_timer = mh_timer_start(r->k, 0, send_more, r);
+	else if (r->peer_end != STAY)
+		end_peer(r, r->peer_end);
 }
 
-/* Goes on with the unit for as long as it is taken. */
+/* Repeats the unit for as long as the client reads it. */
 static void
 send_endless(struct wrig *r)
 {
@@ -154,7 +156,7 @@
 	g_string_free(g, TRUE);
 	if (n > 0)
 		r->sent += (size_t)n;
-	if ((n < 0 && errno != EAGAIN) || r->sent > ENDLESS)
+	if ((n < 0 && errno != EAGAIN) || r->sent > MAX_ENDLESS)
 		mh_loop_stop(r->loop);
 }
 
@@ -280,9 +282,9 @@
 	return r;
 }
 
-/* What comes of one call; it is left if it waits for more. */
+/* Whether a call completes within @us; else it is aborted. */
 static bool
-call_is_whole(struct wrig *r, bool is_head, bool fresh, int64_t us)
+call_completes(struct wrig *r, bool is_head, bool fresh, int64_t us)
 {
 	start_call(r, "a", is_head, fresh);
 	(void)run_most(r->k, r->loop, us);
@@ -296,14 +298,14 @@
 #define OK "HTTP/1.1 200 OK\r\n"
 #define CHUNKED "Transfer-Encoding: chunked\r\n"
 
-/** struct frame - an answer and how its end is told. */
+/** struct frame - a response and how its end is marked. */
 struct frame {
 	const char *text;
 	const char *body;
 	bool by_close;
 };
 
-static const struct frame frames[] = {
+static const struct frame framings[] = {
 	{ OK "X-Id: a\r\nContent-Length: 11\r\n\r\nhello there", "hello there",
 	    false },
 	{ OK "X-Id: a\r\nContent-Length: 5\r\nConnection: close\r\n\r\nhello",
@@ -320,109 +322,112 @@
 	{ "HTTP/1.0 200 OK\r\n\r\nhello there", "hello there", true },
 };
 
-/* A prefix looks whole only where its end is told by the close, and came. */
+/* A truncated response is complete if a close marks its end, after the head. */
 static bool
-is_whole(const struct frame *f, size_t len, enum then then)
+is_complete(const struct frame *f, size_t len, enum peer_end peer_end)
 {
 	const char *head = strstr(f->text, "\r\n\r\n");
 
 	if (!f->by_close)
 		return len == strlen(f->text);
-	return then == CLOSE && len >= (size_t)(head + 4 - f->text);
+	return peer_end == CLOSE && len >= (size_t)(head + 4 - f->text);
 }
 
 static void
-check_torn(struct wrig *r, const struct frame *f, size_t len, enum then then)
+check_truncated(
+    struct wrig *r, const struct frame *f, size_t len, enum peer_end peer_end)
 {
-	bool whole;
+	bool complete;
 
 	g_string_truncate(r->script, 0);
 	g_string_append_len(r->script, f->text, (gssize)len);
-	r->then = then;
-	whole = call_is_whole(r, false, true, LONGEST_US);
-	if (whole != is_whole(f, len, then) || r->ended != 1 ||
+	r->peer_end = peer_end;
+	complete = call_completes(r, false, true, TIMEOUT_US);
+	if (complete != is_complete(f, len, peer_end) || r->ended != 1 ||
 	    !g_str_has_prefix(f->body, r->body->str))
-		fprintf(stderr, "torn: %zu of %s, then %d: ended=%u end=%d\n",
-		    len, f->text, then, r->ended, r->end);
-	CU_ASSERT_EQUAL(whole, is_whole(f, len, then));
+		fprintf(stderr,
+		    "truncated: %zu of %s, end %d: ended=%u end=%d\n", len,
+		    f->text, peer_end, r->ended, r->end);
+	CU_ASSERT_EQUAL(complete, is_complete(f, len, peer_end));
 	CU_ASSERT_EQUAL(r->ended, 1);
 	CU_ASSERT_TRUE(g_str_has_prefix(f->body, r->body->str));
 }
 
-/* An answer torn at some byte, closed or reset there, looks whole. */
+/* A response truncated at some byte, by a close or a reset, looks complete. */
 static void
-test_torn(void)
+test_truncated(void)
 {
 	struct wrig *r = peer_create();
 
-	for (size_t i = 0; i < G_N_ELEMENTS(frames); i++) {
-		for (size_t n = 0; n <= strlen(frames[i].text); n++) {
-			check_torn(r, &frames[i], n, CLOSE);
-			check_torn(r, &frames[i], n, RESET);
+	for (size_t i = 0; i < G_N_ELEMENTS(framings); i++) {
+		for (size_t n = 0; n <= strlen(framings[i].text); n++) {
+			check_truncated(r, &framings[i], n, CLOSE);
+			check_truncated(r, &framings[i], n, RESET);
 		}
 	}
 	wrig_destroy(r);
 }
 
-/* The same answer is judged another way where TCP splits it. */
+/* The result depends on where TCP splits the response. */
 static void
 test_split(void)
 {
 	struct wrig *r = peer_create();
 
-	for (size_t i = 0; i < G_N_ELEMENTS(frames); i++) {
-		const struct frame *f = &frames[i];
+	for (size_t i = 0; i < G_N_ELEMENTS(framings); i++) {
+		const struct frame *f = &framings[i];
 
 		g_string_assign(r->script, f->text);
-		r->then = f->by_close ? CLOSE : STAY;
+		r->peer_end = f->by_close ? CLOSE : STAY;
 		for (r->step = 1; r->step <= strlen(f->text); r->step++) {
 			CU_ASSERT_TRUE(
-			    call_is_whole(r, false, true, LONGEST_US));
+			    call_completes(r, false, true, TIMEOUT_US));
 			CU_ASSERT_STRING_EQUAL(r->body->str, f->body);
 		}
 	}
 	wrig_destroy(r);
 }
 
-/** struct odd - an answer that another reader would take another way. */
-struct odd {
+/** struct response_case - an unusual response and whether it is accepted. */
+struct response_case {
 	const char *name;
 	const char *text;
-	const char *body; /* NULL: must not look whole */
+	const char *body; /* NULL: must not be accepted as complete */
 	bool is_head;
-	enum then then;
+	enum peer_end peer_end;
 };
 
 static void
-check_odd(const struct odd *o, size_t step)
+check_response(const struct response_case *o, size_t step)
 {
 	struct wrig *r = peer_create();
-	bool whole;
+	bool complete;
 
 	g_string_assign(r->script, o->text);
 	r->step = step;
-	r->then = o->then;
-	whole = call_is_whole(r, o->is_head, true, QUIET_US);
-	if (whole != (o->body != NULL) ||
-	    (whole && strcmp(o->body, r->body->str) != 0))
-		fprintf(stderr, "odd: %s, step %zu: ended=%u end=%d body=%s\n",
+	r->peer_end = o->peer_end;
+	complete = call_completes(r, o->is_head, true, WAIT_US);
+	if (complete != (o->body != NULL) ||
+	    (complete && strcmp(o->body, r->body->str) != 0))
+		fprintf(stderr,
+		    "response: %s, step %zu: ended=%u end=%d body=%s\n",
 		    o->name, step, r->ended, r->end, r->body->str);
-	CU_ASSERT_EQUAL(whole, o->body != NULL);
-	if (whole && o->body != NULL)
+	CU_ASSERT_EQUAL(complete, o->body != NULL);
+	if (complete && o->body != NULL)
 		CU_ASSERT_STRING_EQUAL(r->body->str, o->body);
 	wrig_destroy(r);
 }
 
 static void
-check_odds(const struct odd *all, size_t n)
+check_responses(const struct response_case *all, size_t n)
 {
 	for (size_t i = 0; i < n; i++) {
-		check_odd(&all[i], 0);
-		check_odd(&all[i], 1);
+		check_response(&all[i], 0);
+		check_response(&all[i], 1);
 	}
 }
 
-static const struct odd lengths[] = {
+static const struct response_case lengths[] = {
 	{ "a length and chunks",
 	    OK "Content-Length: 2\r\n" CHUNKED "\r\n2\r\nhi\r\n0\r\n\r\n", NULL,
 	    false, CLOSE },
@@ -463,14 +468,15 @@
 	    false, STAY },
 };
 
-/* A length that two readers would read differently is taken. */
+/* A length that parsers read differently is accepted. */
 static void
 test_lengths(void)
 {
-	check_odds(lengths, G_N_ELEMENTS(lengths));
+	check_responses(lengths, G_N_ELEMENTS(lengths));
 }
 
-/* A NUL in a head ends its text for us and not for others. */
+/* A NUL in a head is accepted, though it ends a C string and other parsers
+ * read on. */
 static void
 test_nul(void)
 {
@@ -479,11 +485,11 @@
 	struct wrig *r = peer_create();
 
 	g_string_append_len(r->script, text, sizeof(text) - 1);
-	CU_ASSERT_FALSE(call_is_whole(r, false, true, QUIET_US));
+	CU_ASSERT_FALSE(call_completes(r, false, true, WAIT_US));
 	wrig_destroy(r);
 }
 
-static const struct odd codings[] = {
+static const struct response_case codings[] = {
 	{ "gzip, space behind the name",
 	    OK "Transfer-Encoding : gzip\r\n\r\nhi", NULL, false, CLOSE },
 	{ "chunks, space behind the name",
@@ -516,14 +522,14 @@
 	    false, STAY },
 };
 
-/* A body in a coding that nobody undoes is handed on as the body itself. */
+/* A body with a coding that is not decoded here is passed on as plain. */
 static void
 test_codings(void)
 {
-	check_odds(codings, G_N_ELEMENTS(codings));
+	check_responses(codings, G_N_ELEMENTS(codings));
 }
 
-static const struct odd lines[] = {
+static const struct response_case lines[] = {
 	{ "a chunk longer than its size", OK CHUNKED "\r\n2\r\nhi!!0\r\n\r\n",
 	    NULL, false, CLOSE },
 	{ "a chunk that ends in half a line",
@@ -554,14 +560,14 @@
 	    OK "Content-Length: 4\r\n\r\n\r!\r\r", "\r!\r\r", false, STAY },
 };
 
-/* A line that does not end, or bytes behind a chunk, are read over. */
+/* Malformed line ends, or surplus bytes after a chunk, are skipped. */
 static void
 test_lines(void)
 {
-	check_odds(lines, G_N_ELEMENTS(lines));
+	check_responses(lines, G_N_ELEMENTS(lines));
 }
 
-static const struct odd bodyless[] = {
+static const struct response_case bodyless[] = {
 	{ "304 with a length",
 	    "HTTP/1.1 304 Not Modified\r\n"
 	    "Content-Length: 5\r\n\r\n",
@@ -585,16 +591,20 @@
 	{ "HEAD with chunks", OK CHUNKED "\r\n", "", true, STAY },
 };
 
-/* A body is waited for where none is sent, and eats the next answer. */
+/* The client waits for a body where none is sent, and consumes the next
+ * response as that body. */
 static void
 test_bodyless(void)
 {
-	check_odds(bodyless, G_N_ELEMENTS(bodyless));
+	check_responses(bodyless, G_N_ELEMENTS(bodyless));
 }
 
-/* The body that an answer without one told of is read as the next answer. */
+/*
+ * A response that has no body by its status declares one, and the peer sends
+ * it: the client takes these bytes for the next response.
+ */
 static void
-test_bodyless_then(void)
+test_body_after_bodyless(void)
 {
 	static const struct {
 		const char *text;
@@ -613,14 +623,14 @@
 		struct wrig *r = peer_create();
 
 		g_string_assign(r->script, rows[i].text);
-		CU_ASSERT_TRUE(call_is_whole(r, false, false, LONGEST_US));
-		CU_ASSERT_TRUE(call_is_whole(r, false, false, LONGEST_US));
+		CU_ASSERT_TRUE(call_completes(r, false, false, TIMEOUT_US));
+		CU_ASSERT_TRUE(call_completes(r, false, false, TIMEOUT_US));
 		CU_ASSERT_EQUAL(r->accepted, rows[i].accepted);
 		wrig_destroy(r);
 	}
 }
 
-static const struct odd starts[] = {
+static const struct response_case bad_starts[] = {
 	{ "another protocol",
 	    "HTTP/1.1 101 Switching Protocols\r\nConnection: upgrade\r\n"
 	    "Upgrade: x\r\n\r\n" OK "Content-Length: 2\r\n\r\nhi",
@@ -632,14 +642,14 @@
 	    false, CLOSE },
 };
 
-/* Bytes behind a switch of protocols, or of another one, are an answer. */
+/* A response of another protocol, or after a protocol switch, is accepted. */
 static void
 test_starts(void)
 {
-	check_odds(starts, G_N_ELEMENTS(starts));
+	check_responses(bad_starts, G_N_ELEMENTS(bad_starts));
 }
 
-/* A trailer of one answer is a field of the next on its connection. */
+/* A trailer of one response becomes a field of the next. */
 static void
 test_trailer(void)
 {
@@ -648,10 +658,10 @@
 	g_string_assign(r->script,
 	    OK "X-Id: a\r\n" CHUNKED
 	       "\r\n2\r\nhi\r\n0\r\nX-T: t\r\nX-Stamp: s\r\n\r\n");
-	CU_ASSERT_TRUE(call_is_whole(r, false, false, LONGEST_US));
+	CU_ASSERT_TRUE(call_completes(r, false, false, TIMEOUT_US));
 	CU_ASSERT_PTR_NULL(r->stamp);
 	g_string_assign(r->script, OK "X-Id: a\r\nContent-Length: 2\r\n\r\nhi");
-	CU_ASSERT_TRUE(call_is_whole(r, false, false, LONGEST_US));
+	CU_ASSERT_TRUE(call_completes(r, false, false, TIMEOUT_US));
 	CU_ASSERT_EQUAL(r->accepted, 1);
 	CU_ASSERT_PTR_NULL(r->stamp);
 	wrig_destroy(r);
@@ -663,40 +673,41 @@
 	mh_loop_stop(((struct wrig *)arg)->loop);
 }
 
-/* Bytes that came before a call began on a kept connection are its answer. */
+/* Bytes received before a call started are taken for its response. */
 static void
 test_early(void)
 {
-	static const char early[] = OK "Content-Length: 5\r\n\r\nother";
+	static const char early_bytes[] = OK "Content-Length: 5\r\n\r\nother";
 	struct wrig *r = peer_create();
 
 	g_string_assign(r->script, OK "Content-Length: 2\r\n\r\nhi");
-	CU_ASSERT_TRUE(call_is_whole(r, false, false, LONGEST_US));
-	CU_ASSERT(send(r->peer_fd, early, sizeof(early) - 1, MSG_NOSIGNAL) > 0);
-	CU_ASSERT_TRUE(call_is_whole(r, false, false, LONGEST_US));
+	CU_ASSERT_TRUE(call_completes(r, false, false, TIMEOUT_US));
+	CU_ASSERT(send(r->peer_fd, early_bytes, sizeof(early_bytes) - 1,
+		      MSG_NOSIGNAL) > 0);
+	CU_ASSERT_TRUE(call_completes(r, false, false, TIMEOUT_US));
 	CU_ASSERT_STRING_EQUAL(r->body->str, "hi");
 	CU_ASSERT_EQUAL(r->accepted, 2);
 	wrig_destroy(r);
 }
 
-/* A second answer without an id is that of the next call on the connection. */
+/* A duplicate response without an id is taken for that of the next call. */
 static void
-test_second(void)
+test_duplicate_response(void)
 {
 	struct wrig *r = peer_create();
 
 	g_string_assign(r->script, OK "X-Id: a\r\nContent-Length: 2\r\n\r\nhi");
-	CU_ASSERT_TRUE(call_is_whole(r, false, false, LONGEST_US));
+	CU_ASSERT_TRUE(call_completes(r, false, false, TIMEOUT_US));
 	g_string_assign(r->script,
 	    OK "Content-Length: 5\r\n\r\nother" OK
 	       "X-Id: a\r\nContent-Length: 2\r\n\r\nhi");
-	CU_ASSERT_FALSE(call_is_whole(r, false, false, QUIET_US) &&
+	CU_ASSERT_FALSE(call_completes(r, false, false, WAIT_US) &&
 	    strcmp(r->body->str, "hi") != 0);
 	CU_ASSERT_EQUAL(r->accepted, 1);
 	wrig_destroy(r);
 }
 
-/* A peer says that it keeps a connection for no time, or for ages. */
+/* An announced idle time of zero, less, or a huge number is misread. */
 static void
 test_keep_alive(void)
 {
@@ -709,14 +720,14 @@
 		g_string_printf(r->script,
 		    OK "Content-Length: 2\r\nKeep-Alive: timeout=%s\r\n\r\nhi",
 		    times[i]);
-		CU_ASSERT_TRUE(call_is_whole(r, false, false, LONGEST_US));
-		CU_ASSERT_TRUE(call_is_whole(r, false, false, LONGEST_US));
+		CU_ASSERT_TRUE(call_completes(r, false, false, TIMEOUT_US));
+		CU_ASSERT_TRUE(call_completes(r, false, false, TIMEOUT_US));
 		CU_ASSERT_EQUAL(r->accepted, i < 2 ? 2 : 1);
 		wrig_destroy(r);
 	}
 }
 
-/** struct endless - an answer that goes on without an end. */
+/** struct endless - a response without an end. */
 struct endless {
 	const char *name;
 	const char *text;
@@ -738,7 +749,7 @@
 	{ "answers of others", "", OK "X-Id: z\r\nContent-Length: 0\r\n\r\n" },
 };
 
-/* What comes before or behind a body without an end is read for ever. */
+/* Anything endless other than a body is read for ever. */
 static void
 test_endless(void)
 {
@@ -758,7 +769,7 @@
 	}
 }
 
-/* A call ends within its own callback, and is used behind it. */
+/* A call is aborted in its own callback and used after it is freed. */
 static void
 test_abort_inside(void)
 {
@@ -781,7 +792,7 @@
 	}
 }
 
-/* A call begun in the callback that ended another one gets its bytes. */
+/* A call started in the callback that aborts another one gets its bytes. */
 static void
 test_start_inside(void)
 {
@@ -793,7 +804,7 @@
 		r->start_again = true;
 		g_string_assign(
 		    r->script, OK "X-Id: a\r\nContent-Length: 2\r\n\r\nhi");
-		CU_ASSERT_TRUE(call_is_whole(r, false, false, LONGEST_US));
+		CU_ASSERT_TRUE(call_completes(r, false, false, TIMEOUT_US));
 		CU_ASSERT_STRING_EQUAL(r->body->str, "hi");
 		CU_ASSERT_EQUAL(r->accepted, 2);
 		wrig_destroy(r);
@@ -808,18 +819,18 @@
 	struct wrig *r = arg;
 
 	r->requests++;
-	r->held = q;
+	r->req = q;
 	r->serve(r, q);
 }
 
 static void
-on_gone(void *arg, struct mh_hreq *q)
+on_disconnect(void *arg, struct mh_hreq *q)
 {
 	struct wrig *r = arg;
 
 	(void)q;
-	r->held = NULL;
-	r->gone++;
+	r->req = NULL;
+	r->disconnects++;
 }
 
 static struct wrig *
@@ -827,9 +838,9 @@
 {
 	struct wrig *r = wrig_create();
 	struct mh_hserve_args a = { .listen = "127.0.0.1:0",
-		.limits = { 512, 64, 3 * MH_US_PER_S, 2 * LONGEST_US },
+		.limits = { 512, 64, 3 * MH_US_PER_S, 2 * TIMEOUT_US },
 		.on_request = on_request,
-		.on_gone = on_gone,
+		.on_gone = on_disconnect,
 		.arg = r };
 
 	r->serve = serve;
@@ -862,7 +873,7 @@
 	mh_loop_fd(r->loop, r->peer_fd, true, false, on_raw, r);
 }
 
-/* A caller with a small window; it reads nothing before @us have passed. */
+/* A caller with a small receive window that starts to read after @us. */
 static void
 raw(struct wrig *r, const char *text, int64_t us)
 {
@@ -880,16 +891,16 @@
 	return mh_hreq_target(q);
 }
 
-/** struct empty - an answer without a body. */
-struct empty {
+/** struct bodyless_case - a response without a body. */
+struct bodyless_case {
 	const char *method;
 	uint32_t status;
 	int64_t length;
-	bool write; /* bytes that must not leave */
-	const char *head; /* what its head holds besides the status line */
+	bool write; /* the handler writes a body, which must not be sent */
+	const char *head; /* its header fields */
 };
 
-static const struct empty empties[] = {
+static const struct bodyless_case bodyless_cases[] = {
 	{ "HEAD", 200, -1, false, "" },
 	{ "HEAD", 200, -1, true, "" },
 	{ "HEAD", 200, 5, false, "Content-Length: 5\r\n" },
@@ -901,16 +912,17 @@
 	{ "GET", 304, 0, false, "" },
 };
 
-static const struct empty *now;
+static const struct bodyless_case *current_case;
 
 static void
-serve_empty(struct wrig *r, struct mh_hreq *q)
+serve_bodyless(struct wrig *r, struct mh_hreq *q)
 {
 	bool last = strcmp(path_of(q), "/last") == 0;
 
 	(void)r;
-	mh_hreq_head(q, last ? 200 : now->status, NULL, last ? 2 : now->length);
-	if (last || now->write)
+	mh_hreq_head(q, last ? 200 : current_case->status, NULL,
+	    last ? 2 : current_case->length);
+	if (last || current_case->write)
 		mh_hreq_write(q, "ok", 2);
 	mh_hreq_end(q);
 }
@@ -919,24 +931,26 @@
 #define LAST_ANSWER \
 	"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nConnection: close\r\n\r\nok"
 
-/* A frame or bytes of a body stand where the caller's next answer is due. */
+/* Framing or body bytes are sent where the caller expects the next response. */
 static void
 test_no_body_due(void)
 {
-	for (size_t i = 0; i < G_N_ELEMENTS(empties); i++) {
-		struct wrig *r = server_create(serve_empty);
+	for (size_t i = 0; i < G_N_ELEMENTS(bodyless_cases); i++) {
+		struct wrig *r = server_create(serve_bodyless);
 		char *text, *head;
 
-		now = &empties[i];
-		text = g_strdup_printf(
-		    "%s / HTTP/1.1\r\nHost: h\r\n\r\n" LAST, now->method);
-		head = g_strdup_printf("\r\n%s\r\n" LAST_ANSWER, now->head);
+		current_case = &bodyless_cases[i];
+		text = g_strdup_printf("%s / HTTP/1.1\r\nHost: h\r\n\r\n" LAST,
+		    current_case->method);
+		head = g_strdup_printf(
+		    "\r\n%s\r\n" LAST_ANSWER, current_case->head);
 		raw(r, text, 0);
 		run(r);
 		if (!g_str_has_suffix(r->got->str, head) ||
 		    r->got->len > strlen(head) + 30)
-			fprintf(stderr, "no body: %s %u: %s\n", now->method,
-			    now->status, r->got->str);
+			fprintf(stderr, "no body: %s %u: %s\n",
+			    current_case->method, current_case->status,
+			    r->got->str);
 		CU_ASSERT_TRUE(g_str_has_suffix(r->got->str, head));
 		CU_ASSERT(r->got->len <= strlen(head) + 30);
 		g_free(text);
@@ -964,7 +978,7 @@
 	mh_hreq_end(q);
 }
 
-/* An answer of another length than told takes from the one behind it. */
+/* A response that differs from its declared length corrupts the next one. */
 static void
 test_other_length(void)
 {
@@ -986,8 +1000,8 @@
 {
 	struct wrig *r = arg;
 
-	mh_hreq_write(r->held, "there", 5);
-	mh_hreq_end(r->held);
+	mh_hreq_write(r->req, "there", 5);
+	mh_hreq_end(r->req);
 }
 
 static void
@@ -1004,9 +1018,9 @@
 	mh_timer_start(r->k, 10 * MH_US_PER_MS, on_second_half, r);
 }
 
-/* Requests that come while a stream is answered are lost or mixed with it. */
+/* Requests received during a streamed response are lost or mixed with it. */
 static void
-test_behind_a_stream(void)
+test_requests_after_a_stream(void)
 {
 	struct wrig *r = server_create(serve_parts);
 
@@ -1023,26 +1037,26 @@
 }
 
 static void
-on_break(void *arg)
+on_abort(void *arg)
 {
 	struct wrig *r = arg;
 
-	mh_hreq_break(r->held);
+	mh_hreq_break(r->req);
 }
 
 static void
-serve_broken(struct wrig *r, struct mh_hreq *q)
+serve_aborted(struct wrig *r, struct mh_hreq *q)
 {
 	mh_hreq_head(q, 200, NULL, -1);
 	mh_hreq_write(q, "hello ", 6);
-	mh_timer_start(r->k, 10 * MH_US_PER_MS, on_break, r);
+	mh_timer_start(r->k, 10 * MH_US_PER_MS, on_abort, r);
 }
 
-/* A stream breaks, and a request behind it is answered in its place. */
+/* A stream is aborted, and the next request is answered in its place. */
 static void
-test_behind_a_break(void)
+test_request_after_an_abort(void)
 {
-	struct wrig *r = server_create(serve_broken);
+	struct wrig *r = server_create(serve_aborted);
 
 	raw(r, "GET /1 HTTP/1.1\r\nHost: h\r\n\r\n" LAST, 0);
 	run(r);
@@ -1052,9 +1066,9 @@
 	wrig_destroy(r);
 }
 
-/* More than the kernel takes for a caller that doesn't read. */
+/* Bytes; more than the kernel buffers for a caller that does not read. */
 #define MUCH ((size_t)7 << 20)
-/* More than the server keeps for one. */
+/* Bytes; more than the server buffers for a caller. */
 #define TOO_MUCH ((size_t)20 << 20)
 
 static void
@@ -1090,7 +1104,7 @@
 }
 
 static void
-on_shut(void *arg)
+on_shutdown(void *arg)
 {
 	struct wrig *r = arg;
 
@@ -1098,7 +1112,7 @@
 }
 
 static void
-on_end_server(void *arg)
+on_destroy_server(void *arg)
 {
 	struct wrig *r = arg;
 
@@ -1106,35 +1120,36 @@
 	r->s = NULL;
 }
 
-/** struct half - a long answer of which the caller gets a part alone. */
-struct half {
+/** struct truncation - a long response of which the caller gets only a part. */
+struct truncation {
 	const char *name;
 	void (*serve)(struct wrig *r, struct mh_hreq *q);
-	void (*then)(void *arg); /* what happens while its bytes wait */
+	void (*event)(void *arg); /* while its bytes wait to be sent */
 };
 
-static const struct half halves[] = {
-	{ "it breaks", serve_much, on_break },
-	{ "the caller shuts its side", serve_much, on_shut },
-	{ "the process ends", serve_much, on_end_server },
-	{ "the process ends behind its end", serve_much_and_end,
-	    on_end_server },
+static const struct truncation truncations[] = {
+	{ "it is aborted", serve_much, on_abort },
+	{ "the caller shuts down its side", serve_much, on_shutdown },
+	{ "the server stops", serve_much, on_destroy_server },
+	{ "the server stops after the response's end", serve_much_and_end,
+	    on_destroy_server },
 	{ "the caller doesn't read", serve_too_much, NULL },
 };
 
 static void
-check_half(const struct half *h, const char *version, int64_t wake_us)
+check_truncation(
+    const struct truncation *h, const char *version, int64_t wake_us)
 {
 	struct wrig *r = server_create(h->serve);
 	char *text = g_strdup_printf("GET / %s\r\nHost: h\r\n\r\n", version);
 	bool framed = strcmp(version, "HTTP/1.1") == 0;
 
 	raw(r, text, wake_us);
-	if (h->then != NULL)
-		mh_timer_start(r->k, 50 * MH_US_PER_MS, h->then, r);
+	if (h->event != NULL)
+		mh_timer_start(r->k, 50 * MH_US_PER_MS, h->event, r);
 	run(r);
 	if (!framed && r->raw_errno != ECONNRESET)
-		fprintf(stderr, "half: %s: %zu bytes, errno %d\n", h->name,
+		fprintf(stderr, "partial: %s: %zu bytes, errno %d\n", h->name,
 		    r->got->len, r->raw_errno);
 	CU_ASSERT(framed || r->raw_errno == ECONNRESET);
 	CU_ASSERT_FALSE(g_str_has_suffix(r->got->str, "\r\n0\r\n\r\n"));
@@ -1142,20 +1157,22 @@
 	wrig_destroy(r);
 }
 
-/* Part of an answer whose bytes wait for a slow caller looks whole. */
+/* A response that is cut off while a slow caller reads it looks complete. */
 static void
-test_halves(void)
+test_truncations(void)
 {
-	for (size_t i = 0; i < G_N_ELEMENTS(halves); i++) {
-		/* One that reads at once may have it all by then. */
-		if (halves[i].serve != serve_much_and_end)
-			check_half(&halves[i], "HTTP/1.0", 0);
-		check_half(&halves[i], "HTTP/1.0", 200 * MH_US_PER_MS);
-		check_half(&halves[i], "HTTP/1.1", 200 * MH_US_PER_MS);
+	for (size_t i = 0; i < G_N_ELEMENTS(truncations); i++) {
+		/* A caller that reads at once may have it all by then. */
+		if (truncations[i].serve != serve_much_and_end)
+			check_truncation(&truncations[i], "HTTP/1.0", 0);
+		check_truncation(
+		    &truncations[i], "HTTP/1.0", 200 * MH_US_PER_MS);
+		check_truncation(
+		    &truncations[i], "HTTP/1.1", 200 * MH_US_PER_MS);
 	}
 }
 
-/* Bytes of the n-th part of a long stream; each byte tells its place. */
+/* Bytes of the n-th part of a long stream; the text tells its offset. */
 static char *
 part_of(uint32_t n)
 {
@@ -1204,16 +1221,16 @@
 	return g;
 }
 
-/* Bytes are lost or doubled where the kernel takes a part of them. */
+/* Bytes are lost or repeated after a short write. */
 static void
-test_taken_in_part(void)
+test_short_writes(void)
 {
 	for (int i = 0; i < 2; i++) {
 		struct wrig *r = server_create(serve_long);
-		GString *due = long_answer(i == 1);
+		GString *expected = long_answer(i == 1);
 
-		/* Else the kernel takes it all at once. */
-		CU_ASSERT(due->len > (5U << 20));
+		/* Otherwise the kernel accepts it all at once. */
+		CU_ASSERT(expected->len > (5U << 20));
 		raw(r,
 		    i == 1 ? "GET / HTTP/1.1\r\nHost: h\r\n"
 			     "Connection: close\r\n\r\n"
@@ -1221,14 +1238,14 @@
 		    100 * MH_US_PER_MS);
 		run(r);
 		CU_ASSERT_EQUAL(r->raw_errno, 0);
-		CU_ASSERT_TRUE(g_string_equal(r->got, due));
-		g_string_free(due, TRUE);
+		CU_ASSERT_TRUE(g_string_equal(r->got, expected));
+		g_string_free(expected, TRUE);
 		wrig_destroy(r);
 	}
 }
 
 static void
-serve_and_break(struct wrig *r, struct mh_hreq *q)
+serve_and_abort(struct wrig *r, struct mh_hreq *q)
 {
 	(void)r;
 	if (strcmp(path_of(q), "/head") == 0)
@@ -1236,21 +1253,21 @@
 	mh_hreq_break(q);
 }
 
-/* An answer that breaks within the call that hands its request over. */
+/* Aborting a response within on_request() is mishandled. */
 static void
-test_break_inside(void)
+test_abort_in_on_request(void)
 {
 	static const char *const paths[] = { "/head", "/" };
 
 	for (size_t i = 0; i < G_N_ELEMENTS(paths); i++) {
-		struct wrig *r = server_create(serve_and_break);
+		struct wrig *r = server_create(serve_and_abort);
 		char *text = g_strdup_printf(
 		    "GET %s HTTP/1.1\r\nHost: h\r\n\r\n" LAST, paths[i]);
 
 		raw(r, text, 0);
 		run(r);
 		CU_ASSERT_EQUAL(r->requests, 1);
-		CU_ASSERT_EQUAL(r->gone, 0);
+		CU_ASSERT_EQUAL(r->disconnects, 0);
 		CU_ASSERT_EQUAL(r->raw_errno, ECONNRESET);
 		g_free(text);
 		wrig_destroy(r);
@@ -1258,7 +1275,7 @@
 }
 
 static void
-serve_half(struct wrig *r, struct mh_hreq *q)
+serve_part(struct wrig *r, struct mh_hreq *q)
 {
 	(void)r;
 	mh_hreq_head(q, 200, NULL, -1);
@@ -1268,7 +1285,7 @@
 static G_GNUC_NORETURN void
 run_server(int out)
 {
-	struct wrig *r = server_create(serve_half);
+	struct wrig *r = server_create(serve_part);
 	uint16_t port = mh_hserve_port(r->s);
 
 	if (write(out, &port, sizeof(port)) == sizeof(port))
@@ -1276,7 +1293,7 @@
 	_exit(1);
 }
 
-/* Reads until @end has come, or no more comes; returns errno, 0 at the end. */
+/* Reads up to @end; returns -1, or 0 at end of file, or an errno. */
 static int
 read_until(int fd, GString *got, const char *end)
 {
@@ -1285,7 +1302,7 @@
 	ssize_t n;
 
 	while (!g_str_has_suffix(got->str, end)) {
-		if (poll(&p, 1, LONGEST_US / MH_US_PER_MS) != 1)
+		if (poll(&p, 1, TIMEOUT_US / MH_US_PER_MS) != 1)
 			return ETIMEDOUT;
 		n = recv(fd, buf, sizeof(buf), MSG_DONTWAIT);
 		if (n <= 0)
@@ -1295,7 +1312,7 @@
 	return -1;
 }
 
-/* A process is killed, and half of an answer without a frame looks whole. */
+/* The process is killed, and a truncated unframed response looks complete. */
 static void
 test_killed(void)
 {
@@ -1323,15 +1340,15 @@
 	g_string_free(got, TRUE);
 }
 
-/** struct sent - a request that must be refused. */
-struct sent {
+/** struct bad_request - a request that must be refused. */
+struct bad_request {
 	const char *name;
 	const char *text;
 };
 
 #define POST "POST / HTTP/1.1\r\nHost: h\r\n"
 
-static const struct sent unclear[] = {
+static const struct bad_request ambiguous[] = {
 	{ "gzip, chunked",
 	    POST
 	    "Transfer-Encoding: gzip, chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n" },
@@ -1363,17 +1380,17 @@
 	mh_hreq_end(q);
 }
 
-/* A request that two readers would part differently is passed on. */
+/* A request that parsers delimit differently is passed on. */
 static void
-test_unclear(void)
+test_ambiguous(void)
 {
-	for (size_t i = 0; i < G_N_ELEMENTS(unclear); i++) {
+	for (size_t i = 0; i < G_N_ELEMENTS(ambiguous); i++) {
 		struct wrig *r = server_create(serve_ok);
 
-		raw(r, unclear[i].text, 0);
+		raw(r, ambiguous[i].text, 0);
 		run(r);
 		if (r->requests != 0)
-			fprintf(stderr, "unclear: %s\n", unclear[i].name);
+			fprintf(stderr, "ambiguous: %s\n", ambiguous[i].name);
 		CU_ASSERT_EQUAL(r->requests, 0);
 		CU_ASSERT_TRUE(g_str_has_prefix(r->got->str, "HTTP/1.1 400"));
 		wrig_destroy(r);
@@ -1381,8 +1398,8 @@
 }
 
 /*
- * The connection times out while the request waits for its peer, and half of
- * an answer that ends with the connection looks whole.
+ * The connection times out while the peer does not read the request, and a
+ * truncated response that ends with the connection looks complete.
  */
 static void
 test_timed_out(void)
@@ -1410,16 +1427,16 @@
 	wrig_destroy(r);
 }
 
-/* White space behind a value makes it another one. */
+/* White space after a value is taken as part of it. */
 static void
-test_space_behind(void)
+test_space_after_value(void)
 {
 	struct wrig *r = peer_create();
 
 	g_string_assign(r->script,
 	    OK "X-Id: \t a \t\r\nX-Stamp: b c \r\nContent-Length: 2 \r\n"
 	       "\r\nhi");
-	CU_ASSERT_TRUE(call_is_whole(r, false, true, QUIET_US));
+	CU_ASSERT_TRUE(call_completes(r, false, true, WAIT_US));
 	CU_ASSERT_EQUAL(g_strcmp0(r->stamp, "b c"), 0);
 	wrig_destroy(r);
 }
@@ -1437,7 +1454,7 @@
 
 /* The same in a request. */
 static void
-test_space_behind_asked(void)
+test_space_after_request_value(void)
 {
 	struct wrig *r = server_create(serve_value);
 
@@ -1450,7 +1467,7 @@
 	wrig_destroy(r);
 }
 
-static const struct odd folds[] = {
+static const struct response_case folded_fields[] = {
 	{ "a field", OK "X-Stamp: a\r\n b\r\nContent-Length: 2\r\n\r\nhi", NULL,
 	    false, CLOSE },
 	{ "by a tab", OK "X-Stamp: a\r\n\tb\r\nContent-Length: 2\r\n\r\nhi",
@@ -1465,14 +1482,14 @@
 	    false, STAY },
 };
 
-/* A field that goes on in the next line is joined to another value. */
+/* A folded field is accepted and joined to one value. */
 static void
-test_folds(void)
+test_folded_fields(void)
 {
-	check_odds(folds, G_N_ELEMENTS(folds));
+	check_responses(folded_fields, G_N_ELEMENTS(folded_fields));
 }
 
-/* A field that the second Connection field names is passed on. */
+/* A field that only the second Connection field names is passed on. */
 static void
 test_hop_fields(void)
 {
@@ -1491,35 +1508,36 @@
 }
 
 const struct test tests_wire[] = {
-	{ "wire: space behind a value", test_space_behind },
-	{ "wire: space behind a value asked", test_space_behind_asked },
-	{ "wire: folded fields", test_folds },
-	{ "wire: fields of one connection", test_hop_fields },
-	{ "wire: an answer torn at each byte", test_torn },
-	{ "wire: an answer split at each byte", test_split },
+	{ "wire: space after a value", test_space_after_value },
+	{ "wire: space after a value in a request",
+	    test_space_after_request_value },
+	{ "wire: folded fields", test_folded_fields },
+	{ "wire: hop-by-hop fields", test_hop_fields },
+	{ "wire: a response truncated at each byte", test_truncated },
+	{ "wire: a response split at each byte", test_split },
 	{ "wire: lengths", test_lengths },
 	{ "wire: a NUL in a head", test_nul },
 	{ "wire: codings", test_codings },
-	{ "wire: lines that don't end", test_lines },
-	{ "wire: answers without a body", test_bodyless },
-	{ "wire: behind an answer without a body", test_bodyless_then },
-	{ "wire: no answer of HTTP/1", test_starts },
-	{ "wire: a trailer and the next answer", test_trailer },
+	{ "wire: malformed line ends", test_lines },
+	{ "wire: responses without a body", test_bodyless },
+	{ "wire: a body after a bodyless response", test_body_after_bodyless },
+	{ "wire: responses of other protocols", test_starts },
+	{ "wire: a trailer and the next response", test_trailer },
 	{ "wire: bytes before a call", test_early },
-	{ "wire: a second answer without an id", test_second },
+	{ "wire: a duplicate response without an id", test_duplicate_response },
 	{ "wire: how long a connection is kept", test_keep_alive },
-	{ "wire: answers without an end", test_endless },
-	{ "wire: a call ended in its callback", test_abort_inside },
-	{ "wire: a call begun in a callback", test_start_inside },
+	{ "wire: responses without an end", test_endless },
+	{ "wire: a call aborted in its callback", test_abort_inside },
+	{ "wire: a call started in a callback", test_start_inside },
 	{ "wire: a connection that times out", test_timed_out },
-	{ "wire: no body where none is due", test_no_body_due },
-	{ "wire: another length than told", test_other_length },
-	{ "wire: requests behind a stream", test_behind_a_stream },
-	{ "wire: a request behind a break", test_behind_a_break },
-	{ "wire: half of a long answer", test_halves },
-	{ "wire: a long stream taken in part", test_taken_in_part },
-	{ "wire: half of an answer, and killed", test_killed },
-	{ "wire: a break at once", test_break_inside },
-	{ "wire: requests that are unclear", test_unclear },
+	{ "wire: no body where none is expected", test_no_body_due },
+	{ "wire: another length than declared", test_other_length },
+	{ "wire: requests after a stream", test_requests_after_a_stream },
+	{ "wire: a request after an abort", test_request_after_an_abort },
+	{ "wire: part of a long response", test_truncations },
+	{ "wire: short writes of a long stream", test_short_writes },
+	{ "wire: killed in a response", test_killed },
+	{ "wire: an abort at once", test_abort_in_on_request },
+	{ "wire: ambiguous requests", test_ambiguous },
 	{ NULL, NULL },
 };
--- a/regress/tcp.c
+++ b/regress/tcp.c
@@ -1,5 +1,5 @@
 /**
- * DOC: Sockets on loopback for tests that speak raw bytes, and their loop.
+ * DOC: Loopback sockets for tests that exchange raw bytes.
  */
 
 #include "tcp.h"
@@ -38,29 +38,29 @@
 	return fd;
 }
 
-struct limit {
+struct timeout {
 	struct mh_loop *l;
 	struct mh_timer *timer;
-	bool reached;
+	bool expired;
 };
 
 static void
-on_limit(void *arg)
+on_timeout(void *arg)
 {
-	struct limit *m = arg;
+	struct timeout *m = arg;
 
 	m->timer = NULL;
-	m->reached = true;
+	m->expired = true;
 	mh_loop_stop(m->l);
 }
 
 bool
-run_most(struct mh_kern *k, struct mh_loop *l, int64_t most_us)
+run_most(struct mh_kern *k, struct mh_loop *l, int64_t timeout_us)
 {
-	struct limit m = { .l = l };
+	struct timeout m = { .l = l };
 
-	m.timer = mh_timer_start(k, most_us, on_limit, &m);
+	m.timer = mh_timer_start(k, timeout_us, on_timeout, &m);
 	mh_loop_run(l);
 	mh_timer_stop(k, &m.timer);
-	return !m.reached;
+	return !m.expired;
 }
--- a/regress/tcp.h
+++ b/regress/tcp.h
@@ -3,11 +3,11 @@
 
 #include "marlhoist.h"
 
-/** tcp_listen() - a listening socket on loopback; its address in @addr. */
+/** tcp_listen() - a listening socket on loopback; sets @addr to its address. */
 int tcp_listen(char addr[32]);
-/** tcp_dial() - a connection to a port of ours on loopback. */
+/** tcp_dial() - connects to a port on loopback. */
 int tcp_dial(uint16_t port);
-/** run_most() - runs @l until it is stopped; false: nobody did in that time. */
-bool run_most(struct mh_kern *k, struct mh_loop *l, int64_t most_us);
+/** run_with_timeout() - runs @l until it is stopped; false: it timed out. */
+bool run_most(struct mh_kern *k, struct mh_loop *l, int64_t timeout_us);
 
 #endif
