--- a/lib/hcall.c
+++ b/lib/hcall.c
@@ -138,20 +138,21 @@
 }
 
 static void
-fail_conn(struct conn *c)
+fail(struct conn *c)
 {
 	end_call_and_conn(c, MH_CALL_BROKEN);
 }
 
+/* The connect timeout or the idle limit has expired. */
 static void
-on_timeout(void *arg)
+on_late(void *arg)
 {
 	struct conn *c = arg;
 
 	c->timer = NULL;
 	if (c->call != NULL && !c->connected)
 		mh_count(c->calls->k, "call_connect_timeouts", 1);
-	fail_conn(c);
+	fail(c);
 }
 
 static void
@@ -159,7 +160,7 @@
 {
 	mh_timer_stop(c->calls->k, &c->timer);
 	if (us > 0)
-		c->timer = mh_timer_start(c->calls->k, us, on_timeout, c);
+		c->timer = mh_timer_start(c->calls->k, us, on_late, c);
 }
 
 /* parsing */
@@ -420,7 +421,7 @@
 		return;
 	}
 	if (len == 0) {
-		fail_conn(c);
+		fail(c);
 	} else if (!is_valid) {
 		mh_count(c->calls->k, "call_malformed_answers", 1);
 		end_call_and_conn(c, MH_CALL_UNREADABLE);
@@ -428,7 +429,7 @@
 }
 
 static void
-read_input(struct conn *c)
+read_in(struct conn *c)
 {
 	char buf[READ_SIZE];
 	ssize_t n = recv(c->fd, buf, sizeof(buf), MSG_DONTWAIT);
@@ -439,7 +440,7 @@
 		/* On an idle connection only its end is expected. */
 		if (n > 0)
 			mh_count(c->calls->k, "call_stray_bytes", 1);
-		fail_conn(c);
+		fail(c);
 		return;
 	}
 	take_input(c, buf, (size_t)n);
@@ -447,7 +448,7 @@
 
 /* Returns false if the connection failed and was freed. */
 static bool
-write_output(struct conn *c)
+write_out(struct conn *c)
 {
 	struct mh_hcall *h = c->call;
 	gsize len;
@@ -460,7 +461,7 @@
 		if (n < 0 && (errno == EAGAIN || errno == EINTR))
 			break;
 		if (n <= 0) {
-			fail_conn(c);
+			fail(c);
 			return false;
 		}
 		h->sent += (size_t)n;
@@ -480,7 +481,7 @@
 
 		getsockopt(c->fd, SOL_SOCKET, SO_ERROR, &err, &n);
 		if (err != 0) {
-			fail_conn(c);
+			fail(c);
 			return;
 		}
 		if (!writable)
@@ -489,10 +490,10 @@
 		set_timer(c, 0);
 	}
 	if (c->call != NULL &&
-	    c->call->sent < g_bytes_get_size(c->call->text) && !write_output(c))
+	    c->call->sent < g_bytes_get_size(c->call->text) && !write_out(c))
 		return;
 	if (readable)
-		read_input(c);
+		read_in(c);
 }
 
 /* connections */
@@ -567,7 +568,7 @@
 }
 
 static struct conn *
-open_conn(struct mh_hcalls *a, const char *addr, const char *peer)
+new_conn(struct mh_hcalls *a, const char *addr, const char *peer)
 {
 	struct conn *c;
 	GPtrArray *list;
@@ -619,7 +620,7 @@
 	if (!args->fresh)
 		c = reusable_conn(a, args->addr, args->peer);
 	if (c == NULL)
-		c = open_conn(a, args->addr, args->peer);
+		c = new_conn(a, args->addr, args->peer);
 	if (c == NULL) {
 		/* No file descriptor, or a bad address.  Reported from the
 		 * loop, so that the caller has @h before done() is called. */
--- a/lib/hserve.c
+++ b/lib/hserve.c
@@ -112,7 +112,7 @@
 
 /* The caller disconnected: reports a delivered request, then frees @c. */
 static void
-abandon_conn(struct conn *c)
+lose(struct conn *c)
 {
 	if (c->state == CONN_ANSWERING && c->req != NULL) {
 		struct mh_hreq *r = c->req;
@@ -140,7 +140,7 @@
 }
 
 static void
-update_io(struct conn *c)
+want_io(struct conn *c)
 {
 	bool full = c->in->len >= MAX_IN_BYTES;
 	/* A socket at end of file stays readable: the loop would spin. */
@@ -152,7 +152,7 @@
 
 /* Returns false if the connection failed. */
 static bool
-send_output(struct conn *c)
+send_out(struct conn *c)
 {
 	uint32_t off = 0;
 
@@ -173,20 +173,20 @@
 
 /* Returns false when the connection was lost and freed. */
 static bool
-flush_output(struct conn *c)
+flush_out(struct conn *c)
 {
-	if (!send_output(c)) {
-		abandon_conn(c);
+	if (!send_out(c)) {
+		lose(c);
 		return false;
 	}
 	/* The size of a complete response is bounded by its producer, and its
 	 * duration by SEND_TIMEOUT_US. */
 	if (c->state == CONN_ANSWERING && c->out->len > MAX_OUT_BYTES) {
 		mh_count(c->s->k, "serve_slow_callers", 1);
-		abandon_conn(c);
+		lose(c);
 		return false;
 	}
-	update_io(c);
+	want_io(c);
 	return true;
 }
 
@@ -212,7 +212,7 @@
 	if (unframed || !r->keep_alive || c->s->draining)
 		c->close_after = true;
 	mh_hreq_put_head(r, status, headers, length, c->close_after);
-	update_io(c);
+	want_io(c);
 }
 
 void
@@ -221,7 +221,7 @@
 	if (len == 0)
 		return;
 	mh_hreq_put(r, data, len);
-	update_io(r->c);
+	want_io(r->c);
 }
 
 static void
@@ -240,7 +240,7 @@
 	set_reset_on_close(c, false);
 	set_timer(c, LINGER_US);
 	shutdown(c->fd, SHUT_WR);
-	update_io(c);
+	want_io(c);
 }
 
 /* The kernel has accepted the last byte of the response. */
@@ -254,7 +254,7 @@
 	start_reading(c);
 	process_input(c);
 	/* Resumes reading if it was paused at MAX_IN_BYTES. */
-	update_io(c);
+	want_io(c);
 	if (c->s->finishing)
 		close_if_idle(c);
 }
@@ -269,7 +269,7 @@
 	struct conn *c = arg;
 
 	c->timer = NULL;
-	if (!flush_output(c))
+	if (!flush_out(c))
 		return;
 	if (c->out->len == 0)
 		on_response_sent(c);
@@ -309,7 +309,7 @@
 	c->timer = NULL;
 	/* The reset drops unsent bytes, and a resumed stream continues after
 	 * what was received, so send as much as the kernel accepts. */
-	(void)send_output(c);
+	(void)send_out(c);
 	free_conn(c);
 }
 
@@ -374,7 +374,7 @@
 
 /* Returns false when the connection was lost and freed. */
 static bool
-read_input(struct conn *c)
+read_in(struct conn *c)
 {
 	uint8_t buf[READ_SIZE];
 	ssize_t n = recv(c->fd, buf, sizeof(buf), MSG_DONTWAIT);
@@ -391,7 +391,7 @@
 		return true;
 	}
 	if (n <= 0) {
-		abandon_conn(c);
+		lose(c);
 		return false;
 	}
 	switch (c->state) {
@@ -429,22 +429,22 @@
 static void
 close_if_idle(struct conn *c)
 {
-	if (c->state != CONN_READING || c->req->started || !read_input(c))
+	if (c->state != CONN_READING || c->req->started || !read_in(c))
 		return;
 	process_input(c);
-	update_io(c);
+	want_io(c);
 	if (c->state == CONN_READING && !c->req->started)
-		abandon_conn(c);
+		lose(c);
 }
 
 /* Answers 408 unless the rest of the request is in the socket buffer. */
 static void
 time_out_request(struct conn *c)
 {
-	if (!read_input(c))
+	if (!read_in(c))
 		return;
 	process_input(c);
-	update_io(c);
+	want_io(c);
 	if (c->state != CONN_READING)
 		return;
 	mh_count(c->s->k, "serve_header_timeouts", 1);
@@ -479,7 +479,7 @@
 		return;
 	case CONN_SENDING:
 		mh_count(c->s->k, "serve_slow_callers", 1);
-		abandon_conn(c);
+		lose(c);
 		return;
 	case CONN_LINGER:
 		if (has_unacked(c) && mh_now(c->s->k) < c->send_deadline_us) {
@@ -504,11 +504,11 @@
 	if (c->state == CONN_RESETTING)
 		return;
 	if (readable) {
-		if (!read_input(c))
+		if (!read_in(c))
 			return;
 		process_input(c);
 	}
-	if (!flush_output(c))
+	if (!flush_out(c))
 		return;
 	if (c->state == CONN_SENDING && c->out->len == 0)
 		on_response_sent(c);
@@ -567,7 +567,7 @@
 		c->out = g_byte_array_new();
 		g_hash_table_add(s->conns, c);
 		start_reading(c);
-		update_io(c);
+		want_io(c);
 	}
 }
 
@@ -617,7 +617,7 @@
 static void
 send_last_bytes(struct conn *c)
 {
-	if (c->state != CONN_SENDING || !send_output(c) || c->out->len > 0)
+	if (c->state != CONN_SENDING || !send_out(c) || c->out->len > 0)
 		return;
 	c->state = CONN_LINGER;
 	set_reset_on_close(c, false);
--- a/lib/sse.c
+++ b/lib/sse.c
@@ -268,7 +268,7 @@
 
 /* Appends the event that ends at @scan to @out. */
 static enum mh_sse_fault
-pass_event(struct mh_sse *s, GString *out)
+take_event(struct mh_sse *s, GString *out)
 {
 	const char *event = s->buf->str + s->event_start;
 	size_t len = s->scan - s->event_start;
@@ -289,7 +289,7 @@
 
 	g_string_append_len(s->buf, data, (gssize)len);
 	while (f == MH_SSE_GOOD && find_end(s))
-		f = pass_event(s, out);
+		f = take_event(s, out);
 	g_string_erase(s->buf, 0, (gssize)s->event_start);
 	s->scan -= s->event_start;
 	s->event_start = 0;
