--- a/regress/t_http.c
+++ b/regress/t_http.c
@@ -1128,7 +1128,7 @@
 /** struct response_case - what a peer sends, and the outcome of the call. */
 struct response_case {
 	const char *name;
-	const char *script; /* NULL: closes without an answer */
+	const char *script; /* NULL: closes without a response */
 	bool reset;
 	enum mh_hcall_end end;
 	const char *body;
--- a/regress/t_wire.c
+++ b/regress/t_wire.c
@@ -129,8 +129,8 @@
 send_more(void *arg)
 {
 	struct wrig *r = arg;
-	size_t left = r->script->len - r->sent;
-	size_t n = r->step == 0 ? left : MIN(left, r->step);
+	size_t remaining = r->script->len - r->sent;
+	size_t n = r->step == 0 ? remaining : MIN(remaining, r->step);
 
 	r->send_timer = NULL;
 	if (n > 0 &&
@@ -451,11 +451,11 @@
 	    false, STAY },
 	{ "bytes before it", "x" OK "Content-Length: 2\r\n\r\nhi", NULL, false,
 	    CLOSE },
-	{ "bytes behind it",
+	{ "bytes after it",
 	    OK "Content-Length: 2\r\n\r\nhi" OK "Content-Length: 3\r\n\r\nyou",
 	    "hi", false, STAY },
-	{ "no answer behind a hint", "HTTP/1.1 100 Continue\r\n\r\n", NULL,
-	    false, CLOSE },
+	{ "no response after an interim one", "HTTP/1.1 100 Continue\r\n\r\n",
+	    NULL, false, CLOSE },
 	{ "a chunk over 64 bits",
 	    OK CHUNKED "\r\n10000000000000002\r\nhi\r\n0\r\n\r\n", NULL, false,
 	    CLOSE },
@@ -490,12 +490,12 @@
 }
 
 static const struct response_case codings[] = {
-	{ "gzip, space behind the name",
-	    OK "Transfer-Encoding : gzip\r\n\r\nhi", NULL, false, CLOSE },
-	{ "chunks, space behind the name",
+	{ "gzip, space after the name", OK "Transfer-Encoding : gzip\r\n\r\nhi",
+	    NULL, false, CLOSE },
+	{ "chunks, space after the name",
 	    OK "Transfer-Encoding : chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n", "hi",
 	    false, STAY },
-	{ "another's id, space behind the name",
+	{ "id of another call, space after the name",
 	    OK "X-Id : z\r\nContent-Length: 3\r\n\r\nyou", NULL, false, CLOSE },
 	{ "gzip, chunked",
 	    OK "Transfer-Encoding: gzip, chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n",
@@ -512,7 +512,7 @@
 	{ "nothing", OK "Transfer-Encoding: \r\n\r\nhi", NULL, false, CLOSE },
 	{ "chunked twice", OK CHUNKED CHUNKED "\r\n2\r\nhi\r\n0\r\n\r\n", NULL,
 	    false, CLOSE },
-	{ "another's coded answer first",
+	{ "coded response of another call first",
 	    OK "X-Id: z\r\nTransfer-Encoding: gzip, chunked\r\n\r\n"
 	       "2\r\nhi\r\n0\r\n\r\n" OK
 	       "X-Id: a\r\nContent-Length: 2\r\n\r\nhi",
@@ -538,7 +538,7 @@
 	    OK CHUNKED "\r\n2\r!hi\r\n0\r\n\r\n", NULL, false, CLOSE },
 	{ "a line feed in an extension",
 	    OK CHUNKED "\r\n2;\nx\r\nhi\r\n0\r\n\r\n", NULL, false, CLOSE },
-	{ "chunks behind bare line feeds",
+	{ "chunks after bare line feeds",
 	    "HTTP/1.1 200 OK\nTransfer-Encoding: chunked\n\n"
 	    "2\r\nhi\r\n0\r\n\r\n",
 	    NULL, false, CLOSE },
@@ -578,11 +578,11 @@
 	    "", false, STAY },
 	{ "204 with chunks", "HTTP/1.1 204 No Content\r\n" CHUNKED "\r\n", "",
 	    false, STAY },
-	{ "a hint with a length",
+	{ "an interim response with a length",
 	    "HTTP/1.1 103 Hints\r\nContent-Length: 5\r\n\r\n" OK
 	    "Content-Length: 2\r\n\r\nhi",
 	    "hi", false, STAY },
-	{ "another's 304 first",
+	{ "304 of another call first",
 	    "HTTP/1.1 304 Not Modified\r\nX-Id: z\r\nContent-Length: 5\r\n"
 	    "\r\n" OK "X-Id: a\r\nContent-Length: 2\r\n\r\nhi",
 	    "hi", false, STAY },
@@ -744,9 +744,10 @@
 	{ "a chunk's size", OK CHUNKED "\r\n", "0" },
 	{ "trailers", OK CHUNKED "\r\n1\r\nx\r\n0\r\n", "X: y\r\n" },
 	{ "a trailer", OK CHUNKED "\r\n1\r\nx\r\n0\r\nX: ", "x" },
-	{ "hints", "", "HTTP/1.1 103 Hints\r\nX: y\r\n\r\n" },
+	{ "interim responses", "", "HTTP/1.1 103 Hints\r\nX: y\r\n\r\n" },
 	{ "empty lines", "", "\r\n" },
-	{ "answers of others", "", OK "X-Id: z\r\nContent-Length: 0\r\n\r\n" },
+	{ "responses of other calls", "",
+	    OK "X-Id: z\r\nContent-Length: 0\r\n\r\n" },
 };
 
 /* Anything endless other than a body is read for ever. */
