--- a/lib/gate.c
+++ b/lib/gate.c
@@ -582,12 +582,12 @@
 }
 
 void
-mh_gate_try_end(struct mh_gate *g, struct mh_try *t, enum mh_hcall_end end)
+mh_gate_try_end(struct mh_gate *g, struct mh_try *t, enum mh_hcall_outcome end)
 {
 	struct mh_greq *q = t->req;
 	struct mh_node *n = mh_fleet_find(g->f, t->node);
 
-	if (end == MH_CALL_WHOLE) {
+	if (end == MH_CALL_COMPLETE) {
 		meter_answer(g, q);
 		mh_poison_ran(g->k, q->fingerprint, q->pool);
 		mh_gate_note_run(g, q);
--- a/lib/gate.h
+++ b/lib/gate.h
@@ -520,13 +520,13 @@
 struct mh_cursor *mh_cursor_create(const char *after, bool ordered);
 void mh_cursor_destroy(struct mh_cursor *c);
 /** mh_cursor_has_unnumbered() - events without a number came after the last. */
-bool mh_cursor_lost(const struct mh_cursor *c);
+bool mh_cursor_has_unnumbered(const struct mh_cursor *c);
 /** mh_cursor_last_id() - id of the last event that has a number, or NULL. */
 const char *mh_cursor_last_id(const struct mh_cursor *c);
 
 /** enum mh_sse_fault - why a run cannot be passed on any further. */
 enum mh_sse_fault {
-	MH_SSE_GOOD,
+	MH_SSE_OK,
 	MH_SSE_REPEATED, /* an event's id is not above the last one */
 	MH_SSE_SKIPPED, /* an event is missing before this one */
 	MH_SSE_TOO_LONG /* an event of more than 1 MiB */
@@ -554,7 +554,7 @@
 /** mh_sse_ids() - how the run numbers events; set if it began its stream. */
 enum mh_ids mh_sse_ids(const struct mh_sse *s);
 /** mh_sse_pending_bytes() - bytes received of an incomplete event. */
-size_t mh_sse_held(const struct mh_sse *s);
+size_t mh_sse_pending_bytes(const struct mh_sse *s);
 
 /* gate.c: one request from its arrival to its end */
 
@@ -730,7 +730,7 @@
 void mh_gate_progress(struct mh_gate *g, struct mh_try *t);
 /** mh_gate_try_end() - the call of a try has ended. */
 void mh_gate_try_end(
-    struct mh_gate *g, struct mh_try *t, enum mh_hcall_end end);
+    struct mh_gate *g, struct mh_try *t, enum mh_hcall_outcome end);
 /** mh_gate_invalid_answer() - the answer can't be forwarded; aborts the try. */
 void mh_gate_invalid_answer(
     struct mh_gate *g, struct mh_try *t, const char *why);
--- a/lib/gatelog.c
+++ b/lib/gatelog.c
@@ -18,7 +18,7 @@
 {
 	return q->cur == NULL || q->cur->events == NULL
 	    ? 0
-	    : mh_sse_held(q->cur->events);
+	    : mh_sse_pending_bytes(q->cur->events);
 }
 
 const char *
--- a/lib/gatestream.c
+++ b/lib/gatestream.c
@@ -14,7 +14,7 @@
 {
 	return !q->head_forwarded ||
 	    (q->route->repeat == MH_REPEAT_RESUME &&
-		!mh_cursor_lost(q->cursor));
+		!mh_cursor_has_unnumbered(q->cursor));
 }
 
 /*
--- a/lib/hcall.c
+++ b/lib/hcall.c
@@ -125,7 +125,7 @@
 
 /* Closes the connection and ends its call, if any. */
 static void
-end_call_and_conn(struct conn *c, enum mh_hcall_end outcome)
+end_call_and_conn(struct conn *c, enum mh_hcall_outcome outcome)
 {
 	struct mh_hcall *h = c->call;
 
@@ -387,7 +387,7 @@
 		go_idle(c);
 	else
 		free_conn(c);
-	h->fns.done(h->arg, MH_CALL_WHOLE);
+	h->fns.done(h->arg, MH_CALL_COMPLETE);
 	free_call(h);
 }
 
@@ -696,7 +696,7 @@
 }
 
 void
-mh_hcalls_forget(struct mh_hcalls *a, const char *peer)
+mh_hcalls_close_peer(struct mh_hcalls *a, const char *peer)
 {
 	GPtrArray *list = g_hash_table_lookup(a->peers, peer);
 	GPtrArray *idle = g_ptr_array_new();
--- a/lib/hserve.c
+++ b/lib/hserve.c
@@ -118,7 +118,7 @@
 		struct mh_hreq *r = c->req;
 
 		c->state = CONN_LINGER;
-		c->s->args.on_gone(c->s->args.arg, r);
+		c->s->args.on_disconnect(c->s->args.arg, r);
 	}
 	free_conn(c);
 }
@@ -285,7 +285,7 @@
 	/* With a wrong length the caller would misparse the next response. */
 	if (!mh_hreq_put_end(r)) {
 		mh_count(c->s->k, "serve_length_faults", 1);
-		mh_hreq_break(r);
+		mh_hreq_abort(r);
 		return;
 	}
 	c->req = NULL;
@@ -314,7 +314,7 @@
 }
 
 void
-mh_hreq_break(struct mh_hreq *r)
+mh_hreq_abort(struct mh_hreq *r)
 {
 	struct conn *c = r->c;
 
@@ -693,7 +693,7 @@
 }
 
 uint32_t
-mh_hserve_open(const struct mh_hserve *s)
+mh_hserve_active_count(const struct mh_hserve *s)
 {
 	GHashTableIter it;
 	gpointer key;
--- a/lib/opaque.h
+++ b/lib/opaque.h
@@ -86,7 +86,7 @@
 	struct mh_hlimits limits;
 	void (*on_request)(void *arg, struct mh_hreq *r);
 	/* the caller disconnected first; @r is freed on return */
-	void (*on_gone)(void *arg, struct mh_hreq *r);
+	void (*on_disconnect)(void *arg, struct mh_hreq *r);
 	void *arg;
 };
 
@@ -115,7 +115,7 @@
  * Those with a request that is partly read or not answered, and those with a
  * response whose bytes the kernel has not accepted yet.
  */
-uint32_t mh_hserve_open(const struct mh_hserve *s);
+uint32_t mh_hserve_active_count(const struct mh_hserve *s);
 
 const char *mh_hreq_method(const struct mh_hreq *r);
 /** mh_hreq_target() - path and query as received, not decoded. */
@@ -139,15 +139,15 @@
  */
 void mh_hreq_end(struct mh_hreq *r);
 /** mh_hreq_abort() - resets the connection; frees @r. */
-void mh_hreq_break(struct mh_hreq *r);
+void mh_hreq_abort(struct mh_hreq *r);
 
 /* hcall.c: HTTP/1.1 client that sends each request at most once */
 
 struct mh_hcalls;
 struct mh_hcall;
 
-enum mh_hcall_end {
-	MH_CALL_WHOLE, /* the response is complete */
+enum mh_hcall_outcome {
+	MH_CALL_COMPLETE, /* the response is complete */
 	MH_CALL_UNSENT, /* no byte of the request was sent */
 	MH_CALL_BROKEN, /* sent at least in part; it may have been executed */
 	MH_CALL_UNREADABLE /* sent; the response is malformed */
@@ -162,7 +162,7 @@
 	void (*head)(void *arg, uint32_t status, const struct mh_headers *h,
 	    int64_t length);
 	void (*data)(void *arg, const char *data, size_t len);
-	void (*done)(void *arg, enum mh_hcall_end outcome);
+	void (*done)(void *arg, enum mh_hcall_outcome outcome);
 };
 
 struct mh_hcall_args {
@@ -189,6 +189,6 @@
  *
  * Idle ones are closed at once, the others when their calls end.
  */
-void mh_hcalls_forget(struct mh_hcalls *c, const char *peer);
+void mh_hcalls_close_peer(struct mh_hcalls *c, const char *peer);
 
 #endif
--- a/lib/sse.c
+++ b/lib/sse.c
@@ -88,7 +88,7 @@
 }
 
 bool
-mh_cursor_lost(const struct mh_cursor *c)
+mh_cursor_has_unnumbered(const struct mh_cursor *c)
 {
 	return c->unnumbered;
 }
@@ -232,7 +232,7 @@
 
 	if (!read_id(text, &id)) {
 		c->unnumbered = true;
-		return MH_SSE_GOOD;
+		return MH_SSE_OK;
 	}
 	if (c->ordered && c->has_last && id <= c->last)
 		return MH_SSE_REPEATED;
@@ -242,13 +242,13 @@
 		note_first_id(s, id, expected);
 	c->resumes = false;
 	set_last(c, id);
-	return MH_SSE_GOOD;
+	return MH_SSE_OK;
 }
 
 static enum mh_sse_fault
 track_event(struct mh_sse *s, const char *text, size_t len)
 {
-	enum mh_sse_fault f = MH_SSE_GOOD;
+	enum mh_sse_fault f = MH_SSE_OK;
 	struct event e = { NULL, false };
 
 	read_event(&e, text, len);
@@ -263,7 +263,7 @@
 static enum mh_sse_fault
 check_length(const struct mh_sse *s)
 {
-	return s->buf->len > MAX_EVENT ? MH_SSE_TOO_LONG : MH_SSE_GOOD;
+	return s->buf->len > MAX_EVENT ? MH_SSE_TOO_LONG : MH_SSE_OK;
 }
 
 /* Appends the event that ends at @scan to @out. */
@@ -274,32 +274,32 @@
 	size_t len = s->scan - s->event_start;
 	enum mh_sse_fault f = track_event(s, event, len);
 
-	if (f != MH_SSE_GOOD)
+	if (f != MH_SSE_OK)
 		return f;
 	g_string_append_len(out, event, (gssize)len);
 	s->event_start = s->scan;
 	s->line_empty = true;
-	return MH_SSE_GOOD;
+	return MH_SSE_OK;
 }
 
 enum mh_sse_fault
 mh_sse_feed(struct mh_sse *s, const char *data, size_t len, GString *out)
 {
-	enum mh_sse_fault f = MH_SSE_GOOD;
+	enum mh_sse_fault f = MH_SSE_OK;
 
 	g_string_append_len(s->buf, data, (gssize)len);
-	while (f == MH_SSE_GOOD && find_end(s))
+	while (f == MH_SSE_OK && find_end(s))
 		f = take_event(s, out);
 	g_string_erase(s->buf, 0, (gssize)s->event_start);
 	s->scan -= s->event_start;
 	s->event_start = 0;
-	return f != MH_SSE_GOOD ? f : check_length(s);
+	return f != MH_SSE_OK ? f : check_length(s);
 }
 
 const char *
 mh_sse_fault_name(enum mh_sse_fault f)
 {
-	static const char *const names[] = { [MH_SSE_GOOD] = "none",
+	static const char *const names[] = { [MH_SSE_OK] = "none",
 		[MH_SSE_REPEATED] = "repeated",
 		[MH_SSE_SKIPPED] = "skipped",
 		[MH_SSE_TOO_LONG] = "too-long" };
@@ -314,7 +314,7 @@
 }
 
 size_t
-mh_sse_held(const struct mh_sse *s)
+mh_sse_pending_bytes(const struct mh_sse *s)
 {
 	return s->buf->len;
 }
--- a/regress/fallrig.c
+++ b/regress/fallrig.c
@@ -223,7 +223,7 @@
 /* engines */
 
 static void
-end_run(struct fallrig *r, struct frun *n, enum mh_hcall_end end)
+end_run(struct fallrig *r, struct frun *n, enum mh_hcall_outcome end)
 {
 	struct mh_try *t = n->t;
 	struct fent *e = n->e;
@@ -314,7 +314,7 @@
 		return false;
 	if (r->plain)
 		(void)mh_gate_head(n->e->g, n->t, &a);
-	end_run(r, n, MH_CALL_WHOLE);
+	end_run(r, n, MH_CALL_COMPLETE);
 	return true;
 }
 
--- a/regress/frontrig.c
+++ b/regress/frontrig.c
@@ -326,7 +326,7 @@
 	r->caller_fd = tcp_dial(mh_hserve_port(plat_front_server(r->front)));
 	CU_ASSERT(send(r->caller_fd, text, strlen(text), MSG_NOSIGNAL) > 0);
 	mh_loop_fd(r->loop, r->caller_fd, true, false, on_caller, r);
-	CU_ASSERT_TRUE(run_most(r->k, r->loop, SESSION_MAX_US));
+	CU_ASSERT_TRUE(run_with_timeout(r->k, r->loop, SESSION_MAX_US));
 	memset(r->script, 0, sizeof(r->script));
 }
 
--- a/regress/gaterig.c
+++ b/regress/gaterig.c
@@ -181,5 +181,5 @@
 	struct mh_try *t = r->cur;
 
 	if (mh_gate_head(r->g, t, &a) != MH_DROP)
-		mh_gate_try_end(r->g, t, MH_CALL_WHOLE);
+		mh_gate_try_end(r->g, t, MH_CALL_COMPLETE);
 }
--- a/regress/streamrig.c
+++ b/regress/streamrig.c
@@ -670,7 +670,7 @@
 	    (uint32_t)MIN(MAX_OPEN_LANES, l.rlim_cur / MAX_FDS_PER_LANE);
 	apply_config(r);
 	start_lanes(r);
-	in_time = run_most(r->k, r->loop, RUN_TIMEOUT_US);
+	in_time = run_with_timeout(r->k, r->loop, RUN_TIMEOUT_US);
 	mh_timer_stop(r->k, &r->start_timer);
 	return in_time;
 }
--- a/regress/t_gate.c
+++ b/regress/t_gate.c
@@ -14,7 +14,7 @@
 	uint32_t status; /* 0: no answer */
 	bool not_run;
 	bool genuine;
-	enum mh_hcall_end end; /* with status 0 */
+	enum mh_hcall_outcome end; /* with status 0 */
 	uint32_t sends; /* expected, with every endpoint doing the same */
 	bool finished; /* expected */
 	enum mh_gate_refusal why; /* expected if not finished */
@@ -141,7 +141,7 @@
 	CU_ASSERT_STRING_EQUAL(r->resume, "7");
 	CU_ASSERT_STRING_NOT_EQUAL(r->last, first);
 	CU_ASSERT_EQUAL(mh_gate_head(r->g, r->cur, &a), MH_FORWARD_BODY);
-	mh_gate_try_end(r->g, r->cur, MH_CALL_WHOLE);
+	mh_gate_try_end(r->g, r->cur, MH_CALL_COMPLETE);
 	CU_ASSERT_EQUAL(r->finished, 1);
 	g_string_free(out, TRUE);
 	grig_destroy(r);
--- a/regress/t_http.c
+++ b/regress/t_http.c
@@ -50,7 +50,7 @@
 	/* the client's side */
 	uint32_t ended;
 	uint32_t want; /* calls to wait for */
-	enum mh_hcall_end end;
+	enum mh_hcall_outcome end;
 	uint32_t status;
 	GString *got;
 };
@@ -58,7 +58,7 @@
 static void
 run(struct hrig *r)
 {
-	CU_ASSERT_TRUE(run_most(r->k, r->loop, TIMEOUT_US));
+	CU_ASSERT_TRUE(run_with_timeout(r->k, r->loop, TIMEOUT_US));
 }
 
 static void
@@ -91,7 +91,7 @@
 	}
 	mh_hreq_head(q, 200, NULL, -1);
 	mh_hreq_write(q, "ok", 2);
-	mh_hreq_break(q);
+	mh_hreq_abort(q);
 }
 
 static void
@@ -111,7 +111,7 @@
 	struct mh_hserve_args a = { .listen = "127.0.0.1:0",
 		.limits = { 512, 64, 3 * MH_US_PER_S, 2 * TIMEOUT_US },
 		.on_request = on_request,
-		.on_gone = on_disconnect,
+		.on_disconnect = on_disconnect,
 		.arg = r };
 
 	r->k = mh_kern_create(1);
@@ -773,7 +773,7 @@
 {
 	struct hrig *r = arg;
 
-	CU_ASSERT_EQUAL(mh_hserve_open(r->s), 1);
+	CU_ASSERT_EQUAL(mh_hserve_active_count(r->s), 1);
 	CU_ASSERT_EQUAL(shutdown(r->peer_fd, SHUT_WR), 0);
 	r->loop_count = 0;
 }
@@ -783,7 +783,7 @@
 {
 	struct hrig *r = arg;
 
-	CU_ASSERT_EQUAL(mh_hserve_open(r->s), 1);
+	CU_ASSERT_EQUAL(mh_hserve_active_count(r->s), 1);
 	CU_ASSERT_TRUE(r->loop_count < 100);
 }
 
@@ -813,7 +813,7 @@
 		run(r);
 		CU_ASSERT_EQUAL(r->raw_errno, 0);
 		CU_ASSERT_EQUAL(r->got->len - head_len(r->got), LONG_ANSWER);
-		CU_ASSERT_EQUAL(mh_hserve_open(r->s), 0);
+		CU_ASSERT_EQUAL(mh_hserve_active_count(r->s), 0);
 		hrig_destroy(r);
 	}
 }
@@ -829,7 +829,7 @@
 	mh_timer_start(r->k, 100 * MH_US_PER_MS, close_peer, r);
 	mh_timer_start(r->k, 200 * MH_US_PER_MS, on_stop, r);
 	run(r);
-	CU_ASSERT_EQUAL(mh_hserve_open(r->s), 0);
+	CU_ASSERT_EQUAL(mh_hserve_active_count(r->s), 0);
 	hrig_destroy(r);
 }
 
@@ -858,7 +858,7 @@
 	run(r);
 	CU_ASSERT_EQUAL(r->raw_errno, 0);
 	CU_ASSERT_TRUE(g_str_has_suffix(r->got->str, "\r\n\r\nxx"));
-	CU_ASSERT_EQUAL(mh_hserve_open(r->s), 0);
+	CU_ASSERT_EQUAL(mh_hserve_active_count(r->s), 0);
 	hrig_destroy(r);
 }
 
@@ -920,13 +920,13 @@
 static void
 on_none_open(void *arg)
 {
-	CU_ASSERT_EQUAL(mh_hserve_open(((struct hrig *)arg)->s), 0);
+	CU_ASSERT_EQUAL(mh_hserve_active_count(((struct hrig *)arg)->s), 0);
 }
 
 static void
 on_one_open(void *arg)
 {
-	CU_ASSERT_EQUAL(mh_hserve_open(((struct hrig *)arg)->s), 1);
+	CU_ASSERT_EQUAL(mh_hserve_active_count(((struct hrig *)arg)->s), 1);
 }
 
 /*
@@ -984,7 +984,7 @@
 	struct hrig *r = arg;
 
 	mh_hserve_finish(r->s);
-	CU_ASSERT_EQUAL(mh_hserve_open(r->s), 1);
+	CU_ASSERT_EQUAL(mh_hserve_active_count(r->s), 1);
 }
 
 /*
@@ -1003,7 +1003,7 @@
 	run(r);
 	CU_ASSERT_EQUAL(r->raw_errno, 0);
 	CU_ASSERT_EQUAL(r->got->len - head_len(r->got), LONG_ANSWER);
-	CU_ASSERT_EQUAL(mh_hserve_open(r->s), 0);
+	CU_ASSERT_EQUAL(mh_hserve_active_count(r->s), 0);
 	hrig_destroy(r);
 }
 
@@ -1012,7 +1012,7 @@
 {
 	struct hrig *r = arg;
 
-	CU_ASSERT_EQUAL(mh_hserve_open(r->s), 1);
+	CU_ASSERT_EQUAL(mh_hserve_active_count(r->s), 1);
 	mh_hreq_end(r->req);
 }
 
@@ -1033,7 +1033,7 @@
 	run(r);
 	CU_ASSERT_EQUAL(r->raw_errno, 0);
 	CU_ASSERT_TRUE(g_str_has_suffix(r->got->str, "ok\r\n0\r\n\r\n"));
-	CU_ASSERT_EQUAL(mh_hserve_open(r->s), 0);
+	CU_ASSERT_EQUAL(mh_hserve_active_count(r->s), 0);
 	hrig_destroy(r);
 }
 
@@ -1098,7 +1098,7 @@
 }
 
 static void
-c_done(void *arg, enum mh_hcall_end end)
+c_done(void *arg, enum mh_hcall_outcome end)
 {
 	struct hrig *r = arg;
 
@@ -1130,7 +1130,7 @@
 	const char *name;
 	const char *script; /* NULL: closes without a response */
 	bool reset;
-	enum mh_hcall_end end;
+	enum mh_hcall_outcome end;
 	const char *body;
 };
 
@@ -1138,11 +1138,11 @@
 
 static const struct response_case response_cases[] = {
 	{ "complete", OK "X-Id: a\r\nContent-length: 2\r\n\r\nhi", false,
-	    MH_CALL_WHOLE, "hi" },
+	    MH_CALL_COMPLETE, "hi" },
 	{ "chunks",
 	    OK "X-Id: a\r\nTransfer-Encoding: chunked\r\n\r\n"
 	       "2\r\nhi\r\n0\r\n\r\n",
-	    false, MH_CALL_WHOLE, "hi" },
+	    false, MH_CALL_COMPLETE, "hi" },
 	{ "chunks without the last",
 	    OK "Transfer-Encoding: chunked\r\n\r\n"
 	       "2\r\nhi\r\n",
@@ -1150,20 +1150,20 @@
 	{ "truncated", OK "Content-Length: 5\r\n\r\nhi", false, MH_CALL_BROKEN,
 	    "hi" },
 	{ "no length, ends with the connection", OK "\r\nhi", false,
-	    MH_CALL_WHOLE, "hi" },
+	    MH_CALL_COMPLETE, "hi" },
 	{ "no length, reset", OK "\r\nhi", true, MH_CALL_BROKEN, NULL },
 	{ "closed without a response", NULL, false, MH_CALL_BROKEN, "" },
 	{ "not HTTP", "what\r\n\r\n", false, MH_CALL_UNREADABLE, "" },
 	{ "response of another call first",
 	    OK "X-Id: z\r\nContent-length: 3\r\n\r\nnot" OK
 	       "X-Id: a\r\nContent-length: 2\r\n\r\nhi",
-	    false, MH_CALL_WHOLE, "hi" },
+	    false, MH_CALL_COMPLETE, "hi" },
 	{ "bytes after the response",
 	    OK "X-Id: a\r\nContent-length: 2\r\n\r\nhiHTTP/1.1 200 O", false,
-	    MH_CALL_WHOLE, "hi" },
+	    MH_CALL_COMPLETE, "hi" },
 	{ "an interim response first",
 	    "HTTP/1.1 103 Early Hints\r\n\r\n" OK "Content-length: 2\r\n\r\nhi",
-	    false, MH_CALL_WHOLE, "hi" },
+	    false, MH_CALL_COMPLETE, "hi" },
 };
 
 static void
--- a/regress/t_leave.c
+++ b/regress/t_leave.c
@@ -37,7 +37,7 @@
 	CU_ASSERT_EQUAL(mh_gate_head(r->g, r->cur, &a), MH_FORWARD);
 	mh_gate_progress(r->g, r->cur);
 	grig_advance(r, us);
-	mh_gate_try_end(r->g, r->cur, MH_CALL_WHOLE);
+	mh_gate_try_end(r->g, r->cur, MH_CALL_COMPLETE);
 }
 
 /*
--- a/regress/t_platform_store.c
+++ b/regress/t_platform_store.c
@@ -251,7 +251,7 @@
 	struct mh_hserve_args a = { .listen = "127.0.0.1:0",
 		.limits = { 4096, 65536, 3 * S, 9 * S },
 		.on_request = on_request,
-		.on_gone = on_gone,
+		.on_disconnect = on_gone,
 		.arg = r };
 	struct plat_view_fns fns = { on_conf, on_evacuated, is_reader,
 		is_reader, is_linked, r, 2 * S, is_behind };
@@ -271,7 +271,7 @@
 	r->store = plat_store_create(r->k, r->calls, addr);
 	r->view = plat_view_create(r->k, r->store, r->fleet, &fns);
 	r->members = plat_members_create(r->k, r->store, &self, &member_fns);
-	in_time = run_most(r->k, r->loop, r->odd ? ODD_US : LONGEST_US);
+	in_time = run_with_timeout(r->k, r->loop, r->odd ? ODD_US : LONGEST_US);
 	CU_ASSERT_TRUE(in_time || r->odd);
 }
 
@@ -562,7 +562,7 @@
 			.secret = t[i].secret };
 
 		play(&r);
-		(void)run_most(r.k, r.loop, S / 2);
+		(void)run_with_timeout(r.k, r.loop, S / 2);
 		CU_ASSERT(r.firsts <= 1 + 2 * t[i].secrets);
 		CU_ASSERT_EQUAL(r.lists, 0);
 		CU_ASSERT_EQUAL(r.own, t[i].own);
@@ -611,7 +611,7 @@
 	CU_ASSERT_EQUAL(g_bytes_get_size(text), strlen(two));
 	g_bytes_unref(text);
 	CU_ASSERT_TRUE(tell_list(&r, 21, "[[\"a\",\"127.0.0.1:8\",100]]"));
-	(void)run_most(r.k, r.loop, S / 5);
+	(void)run_with_timeout(r.k, r.loop, S / 5);
 	CU_ASSERT_EQUAL(r.puts, 1);
 	finish(&r);
 }
@@ -707,7 +707,7 @@
 	tell_conf(&r);
 	tell_rows(&r, 300, TOLD(ROW_A, "1"));
 	CU_ASSERT_TRUE(plat_view_ready(r.view));
-	(void)run_most(r.k, r.loop, S / 2);
+	(void)run_with_timeout(r.k, r.loop, S / 2);
 	CU_ASSERT_EQUAL(r.rows + r.row_watches, 0);
 	finish(&r);
 }
@@ -719,7 +719,7 @@
 	struct srig r = { .odd = true, .follows = true };
 
 	play(&r);
-	(void)run_most(r.k, r.loop, 3 * S);
+	(void)run_with_timeout(r.k, r.loop, 3 * S);
 	CU_ASSERT(r.rows > 0);
 	CU_ASSERT_TRUE(plat_view_ready(r.view));
 	finish(&r);
@@ -739,7 +739,7 @@
 
 	play(&r);
 	tell_rows(&r, 300, TOLD(ROW_A, "1"));
-	(void)run_most(r.k, r.loop, 3 * S / 2);
+	(void)run_with_timeout(r.k, r.loop, 3 * S / 2);
 	CU_ASSERT_EQUAL(r.rows, 0);
 	CU_ASSERT(r.row_watches > 0 && r.row_watches <= 2);
 	/* What the watch brings from before is older than what was told. */
@@ -761,7 +761,7 @@
 	CU_ASSERT_EQUAL(r.confs, 0);
 	tell_conf(&r);
 	CU_ASSERT_TRUE(r.has_conf);
-	(void)run_most(r.k, r.loop, S / 2);
+	(void)run_with_timeout(r.k, r.loop, S / 2);
 	CU_ASSERT_EQUAL(r.confs + r.watches, 0);
 	finish(&r);
 }
@@ -778,16 +778,16 @@
 	play(&r);
 	tell_conf(&r);
 	tell_rows(&r, 300, TOLD(ROW_A, "1"));
-	(void)run_most(r.k, r.loop, S / 2);
+	(void)run_with_timeout(r.k, r.loop, S / 2);
 	CU_ASSERT_EQUAL(r.confs + r.watches, 0);
 	r.behind = true;
-	(void)run_most(r.k, r.loop, S / 2);
+	(void)run_with_timeout(r.k, r.loop, S / 2);
 	CU_ASSERT_EQUAL(r.confs, 1);
-	(void)run_most(r.k, r.loop, 2 * S);
+	(void)run_with_timeout(r.k, r.loop, 2 * S);
 	CU_ASSERT(r.confs >= 2 && r.confs <= 3);
 	r.behind = false;
 	r.confs = 0;
-	(void)run_most(r.k, r.loop, S);
+	(void)run_with_timeout(r.k, r.loop, S);
 	CU_ASSERT_EQUAL(r.confs, 0);
 	finish(&r);
 }
@@ -799,7 +799,7 @@
 	struct srig r = { .odd = true, .follows = true, .alone = true };
 
 	play(&r);
-	(void)run_most(r.k, r.loop, S);
+	(void)run_with_timeout(r.k, r.loop, S);
 	CU_ASSERT(r.confs > 0);
 	CU_ASSERT_TRUE(r.has_conf);
 	finish(&r);
@@ -816,7 +816,7 @@
 	r.alone = false;
 	r.follows = true;
 	r.confs = 0;
-	(void)run_most(r.k, r.loop, 2 * S);
+	(void)run_with_timeout(r.k, r.loop, 2 * S);
 	CU_ASSERT(r.confs <= 1);
 	finish(&r);
 }
--- a/regress/t_relay.c
+++ b/regress/t_relay.c
@@ -306,7 +306,7 @@
 		return;
 	}
 	if (a->plan.aborts)
-		mh_hreq_break(a->q);
+		mh_hreq_abort(a->q);
 	else
 		mh_hreq_end(a->q);
 	g_hash_table_remove(p->answers, a);
@@ -378,13 +378,13 @@
 }
 
 static void
-on_done(void *arg, enum mh_hcall_end end)
+on_done(void *arg, enum mh_hcall_outcome end)
 {
 	struct call *a = arg;
 	struct session *p = a->p;
 	char *bytes = body_of(a->plan.n, a->plan.response_bytes);
 	bool all = a->got->len == a->plan.response_bytes;
-	bool complete = end == MH_CALL_WHOLE;
+	bool complete = end == MH_CALL_COMPLETE;
 
 	if (a->got->len > a->plan.response_bytes ||
 	    memcmp(a->got->str, bytes, a->got->len) != 0)
@@ -462,7 +462,7 @@
 	struct mh_hserve_args a = { .listen = "127.0.0.1:0",
 		.limits = { 1024, MAX_PART, TIMEOUT_US, TIMEOUT_US },
 		.on_request = on_request,
-		.on_gone = on_disconnect,
+		.on_disconnect = on_disconnect,
 		.arg = p };
 
 	p->seed = seed;
@@ -512,7 +512,7 @@
 
 	for (int i = 0; i < CONCURRENT; i++)
 		start_call(p);
-	in_time = run_most(p->k, p->loop, TIMEOUT_US);
+	in_time = run_with_timeout(p->k, p->loop, TIMEOUT_US);
 	if (!in_time)
 		fprintf(stderr, "relay: seed %u: %u of %u ended\n", seed,
 		    p->ended, CALLS);
--- a/regress/t_slow.c
+++ b/regress/t_slow.c
@@ -165,7 +165,7 @@
 	struct mh_hserve_args a = { .listen = "127.0.0.1:0",
 		.limits = { 4096, 65536, 3 * S, 9 * S },
 		.on_request = on_request,
-		.on_gone = on_gone,
+		.on_disconnect = on_gone,
 		.arg = r };
 	struct plat_view_fns fns = { on_conf, on_evacuated, yes, yes, no, r,
 		2 * S, NULL };
@@ -184,7 +184,7 @@
 	/* As at every start, one call finds the store. */
 	plat_store_call(r->store, "GET",
 	    "/kv-range?pathPrefix=" PLAT_OWN_PREFIX, NULL, S, on_first, r);
-	(void)run_most(r->k, r->loop, us);
+	(void)run_with_timeout(r->k, r->loop, us);
 }
 
 static void
--- a/regress/t_sse.c
+++ b/regress/t_sse.c
@@ -33,7 +33,7 @@
 			GString *out = g_string_new(NULL);
 
 			mh_sse_feed(s, streams[i], at, out);
-			CU_ASSERT_EQUAL(out->len + mh_sse_held(s), at);
+			CU_ASSERT_EQUAL(out->len + mh_sse_pending_bytes(s), at);
 			mh_sse_feed(s, streams[i] + at, len - at, out);
 			CU_ASSERT_STRING_EQUAL(out->str, streams[i]);
 			CU_ASSERT_STRING_EQUAL(mh_cursor_last_id(c), "2");
@@ -55,7 +55,7 @@
 
 	mh_sse_feed(s, text, strlen(text), out);
 	CU_ASSERT_STRING_EQUAL(out->str, text);
-	CU_ASSERT_EQUAL(mh_sse_held(s), 0);
+	CU_ASSERT_EQUAL(mh_sse_pending_bytes(s), 0);
 	g_string_free(out, TRUE);
 	mh_sse_destroy(s);
 	mh_cursor_destroy(c);
@@ -69,12 +69,11 @@
 	struct mh_sse *s = mh_sse_create(c, MH_IDS_UNKNOWN);
 	GString *out = g_string_new(NULL);
 	char part[PART_BYTES];
-	enum mh_sse_fault f = MH_SSE_GOOD;
+	enum mh_sse_fault f = MH_SSE_OK;
 	size_t fed;
 
 	memset(part, 'x', sizeof(part));
-	for (fed = 0; f == MH_SSE_GOOD && fed < 2 * MAX_EVENT;
-	     fed += PART_BYTES)
+	for (fed = 0; f == MH_SSE_OK && fed < 2 * MAX_EVENT; fed += PART_BYTES)
 		f = mh_sse_feed(s, part, PART_BYTES, out);
 	CU_ASSERT_EQUAL(f, MH_SSE_TOO_LONG);
 	CU_ASSERT_EQUAL(fed, MAX_EVENT + PART_BYTES);
--- a/regress/t_stage.c
+++ b/regress/t_stage.c
@@ -267,7 +267,7 @@
 	g_free(r->made);
 	r->made = NULL;
 	mh_cell_submit(r->cell, j);
-	CU_ASSERT_TRUE(run_most(r->k, r->loop, LONGEST_US));
+	CU_ASSERT_TRUE(run_with_timeout(r->k, r->loop, LONGEST_US));
 	return r->made;
 }
 
--- a/regress/t_wire.c
+++ b/regress/t_wire.c
@@ -48,7 +48,7 @@
 	struct mh_hcall *call;
 	uint32_t heads;
 	uint32_t ended;
-	enum mh_hcall_end end;
+	enum mh_hcall_outcome end;
 	uint32_t status;
 	char *stamp;
 	char *reused;
@@ -69,7 +69,7 @@
 static void
 run(struct wrig *r)
 {
-	CU_ASSERT_TRUE(run_most(r->k, r->loop, TIMEOUT_US));
+	CU_ASSERT_TRUE(run_with_timeout(r->k, r->loop, TIMEOUT_US));
 }
 
 static struct wrig *
@@ -238,7 +238,7 @@
 }
 
 static void
-c_done(void *arg, enum mh_hcall_end end)
+c_done(void *arg, enum mh_hcall_outcome end)
 {
 	struct wrig *r = arg;
 
@@ -287,12 +287,12 @@
 call_completes(struct wrig *r, bool is_head, bool fresh, int64_t us)
 {
 	start_call(r, "a", is_head, fresh);
-	(void)run_most(r->k, r->loop, us);
+	(void)run_with_timeout(r->k, r->loop, us);
 	if (r->call != NULL) {
 		mh_hcall_abort(r->call);
 		r->call = NULL;
 	}
-	return r->ended == 1 && r->end == MH_CALL_WHOLE;
+	return r->ended == 1 && r->end == MH_CALL_COMPLETE;
 }
 
 #define OK "HTTP/1.1 200 OK\r\n"
@@ -841,7 +841,7 @@
 	struct mh_hserve_args a = { .listen = "127.0.0.1:0",
 		.limits = { 512, 64, 3 * MH_US_PER_S, 2 * TIMEOUT_US },
 		.on_request = on_request,
-		.on_gone = on_disconnect,
+		.on_disconnect = on_disconnect,
 		.arg = r };
 
 	r->serve = serve;
@@ -1042,7 +1042,7 @@
 {
 	struct wrig *r = arg;
 
-	mh_hreq_break(r->req);
+	mh_hreq_abort(r->req);
 }
 
 static void
@@ -1251,7 +1251,7 @@
 	(void)r;
 	if (strcmp(path_of(q), "/head") == 0)
 		mh_hreq_head(q, 200, NULL, -1);
-	mh_hreq_break(q);
+	mh_hreq_abort(q);
 }
 
 /* Aborting a response within on_request() is mishandled. */
--- a/regress/tcp.c
+++ b/regress/tcp.c
@@ -55,7 +55,7 @@
 }
 
 bool
-run_most(struct mh_kern *k, struct mh_loop *l, int64_t timeout_us)
+run_with_timeout(struct mh_kern *k, struct mh_loop *l, int64_t timeout_us)
 {
 	struct timeout m = { .l = l };
 
--- a/regress/tcp.h
+++ b/regress/tcp.h
@@ -8,6 +8,6 @@
 /** tcp_dial() - connects to a port on loopback. */
 int tcp_dial(uint16_t port);
 /** run_with_timeout() - runs @l until it is stopped; false: it timed out. */
-bool run_most(struct mh_kern *k, struct mh_loop *l, int64_t timeout_us);
+bool run_with_timeout(struct mh_kern *k, struct mh_loop *l, int64_t timeout_us);
 
 #endif
