--- a/lib/broker.c
+++ b/lib/broker.c
@@ -36,7 +36,7 @@
 struct mh_broker {
 	struct mh_kern *k;
 	struct mh_mesh *m;
-	struct mh_cells *cells;
+	struct mh_scheds *cells;
 	GHashTable *sent; /* job -> struct sent */
 	GHashTable *guests; /* node/id -> struct guest */
 	GHashTable *guest_jobs; /* job -> struct guest */
@@ -74,7 +74,7 @@
  * without it; so it makes the stage anew.
  */
 static char **
-made_of(const struct mh_jstage *st)
+made_of(const struct mh_job_stage *st)
 {
 	char **list;
 
@@ -106,10 +106,10 @@
 	m.weight = j->weight;
 	m.slice = slice;
 	m.slices = slices;
-	m.returned = j->returned;
-	m.moved = j->moved;
-	m.print = j->print;
-	m.aim_us = j->aim_us - mh_now(b->k);
+	m.returned = j->refused_before;
+	m.moved = j->handed_off;
+	m.print = j->fingerprint;
+	m.aim_us = j->slo_us - mh_now(b->k);
 	m.deadline_us = j->deadline_us - mh_now(b->k);
 	m.n_stages = j->n_stages;
 	m.stages = list;
@@ -123,7 +123,7 @@
 		made[s] = made_of(&j->stages[s]);
 		if (made[s] == NULL)
 			continue;
-		if (mh_job_stage_made(&j->stages[s])) {
+		if (mh_job_stage_done(&j->stages[s])) {
 			stages[s].results = made[s];
 			stages[s].n_results = j->stages[s].results->len;
 		} else {
@@ -151,13 +151,13 @@
 	double unit = (double)(mh_hash(j->id, strlen(j->id)) >> 11) /
 	    (double)(1ULL << 53);
 
-	return mh_cells_pick(b->cells, used, n, unit);
+	return mh_scheds_pick(b->cells, used, n, unit);
 }
 
 static void
 submit(struct mh_broker *b, struct mh_job *j)
 {
-	uint32_t count = mh_cells_count(b->cells);
+	uint32_t count = mh_scheds_count(b->cells);
 	uint32_t slice = pick_slice(b, j, count);
 	char work[MH_WORK_LEN];
 	const char *home;
@@ -166,7 +166,7 @@
 	mh_mesh_set_slices(b->m, count);
 	home = mh_mesh_home(b->m, mh_slice_work(work, slice, count));
 	if (mh_mesh_is_self(b->m, home)) {
-		mh_cell_submit(mh_cells_get(b->cells, slice, count), j);
+		mh_sched_submit(mh_scheds_get(b->cells, slice, count), j);
 		return;
 	}
 	s = g_new0(struct sent, 1);
@@ -223,7 +223,7 @@
 			const char *result = g_ptr_array_index(a, i);
 
 			if (result != NULL && *result != '\0')
-				mh_cells_discard(b->cells, result);
+				mh_scheds_discard(b->cells, result);
 		}
 	}
 }
@@ -236,7 +236,7 @@
 	Mh__JobDrop d = MH__JOB_DROP__INIT;
 
 	if (j->state != NULL) { /* a cell of ours has it */
-		mh_cell_cancel(j->cell, j);
+		mh_sched_cancel(j->sched, j);
 		return;
 	}
 	if (g_queue_remove(b->held, j) || s == NULL) {
@@ -255,7 +255,7 @@
 {
 	mh_count(b->k, "jobs_moved", 1);
 	mh_event(b->k, "job-moved", "id=%s from=%s", j->id, from);
-	j->moved = true;
+	j->handed_off = true;
 	mh_broker_submit(b, j);
 }
 
@@ -308,7 +308,7 @@
 	struct mh_broker *b = arg;
 	const Mh__JobEnd *m = f->job_end;
 	struct mh_job *j = find_sent(b, node, m->id);
-	enum mh_job_end end = m->held ? MH_JOB_HELD : m->end;
+	enum mh_job_end end = m->held ? MH_JOB_QUARANTINED : m->end;
 	struct sent *s;
 
 	if (j == NULL)
@@ -322,7 +322,7 @@
 	}
 	if (end != MH_JOB_DONE)
 		g_hash_table_remove(b->sent, j);
-	if (end == MH_JOB_MOVED) {
+	if (end == MH_JOB_HANDED_OFF) {
 		submit_again(b, j, node);
 		return;
 	}
@@ -344,12 +344,12 @@
 	if (j == NULL || m->stage >= j->n_stages)
 		return;
 	if (m->n_results == j->stages[m->stage].pieces)
-		mh_job_made(j, m->stage, m->results, m->n_results);
+		mh_job_set_results(j, m->stage, m->results, m->n_results);
 	else if (m->n_some == j->stages[m->stage].pieces)
-		mh_job_made(j, m->stage, m->some, m->n_some);
+		mh_job_set_results(j, m->stage, m->some, m->n_some);
 	else
 		return;
-	mh_job_forget_read(j);
+	mh_job_drop_unneeded(j);
 }
 
 /* doing */
@@ -378,11 +378,11 @@
 		j->domain = g_strdup(m->domain);
 	j->priority = m->priority;
 	j->weight = m->weight;
-	j->returned = m->returned;
-	j->moved = m->moved;
-	j->print = m->print;
+	j->refused_before = m->returned;
+	j->handed_off = m->moved;
+	j->fingerprint = m->print;
 	j->arrived_us = mh_now(b->k);
-	j->aim_us = j->arrived_us + m->aim_us;
+	j->slo_us = j->arrived_us + m->aim_us;
 	j->deadline_us = j->arrived_us + m->deadline_us;
 	j->n_stages = MIN((uint32_t)m->n_stages, MH_GSTAGES);
 	for (uint32_t s = 0; s < j->n_stages; s++) {
@@ -392,11 +392,11 @@
 		j->stages[s].result_bytes = m->stages[s]->result_bytes;
 		if (m->stages[s]->n_results > 0 &&
 		    m->stages[s]->n_results == m->stages[s]->pieces)
-			mh_job_made(j, s, m->stages[s]->results,
+			mh_job_set_results(j, s, m->stages[s]->results,
 			    m->stages[s]->n_results);
 		else if (m->stages[s]->n_some > 0 &&
 		    m->stages[s]->n_some == m->stages[s]->pieces)
-			mh_job_made(
+			mh_job_set_results(
 			    j, s, m->stages[s]->some, m->stages[s]->n_some);
 	}
 	return j;
@@ -419,19 +419,19 @@
 	struct guest *old = g_hash_table_lookup(b->guests, key);
 
 	if (old != NULL) {
-		mh_cell_cancel(old->job->cell, old->job);
+		mh_sched_cancel(old->job->sched, old->job);
 		free_guest(b, old);
 	}
 	mh_mesh_hint(b->m, node, home_of(b, f->job));
 	g->b = b;
 	g->node = g_strdup(node);
 	g->job = read_job(b, f->job);
-	g->job->owner = g;
+	g->job->submitter = g;
 	g_hash_table_insert(b->guests, key, g);
 	g_hash_table_insert(b->guest_jobs, g->job, g);
 	mh_count(b->k, "jobs_guest", 1);
-	mh_cell_submit(mh_cells_get(b->cells, f->job->slice % MH_SLICES,
-			   CLAMP(f->job->slices, 1, MH_SLICES)),
+	mh_sched_submit(mh_scheds_get(b->cells, f->job->slice % MH_SLICES,
+			    CLAMP(f->job->slices, 1, MH_SLICES)),
 	    g->job);
 }
 
@@ -445,7 +445,7 @@
 	g_free(key);
 	if (g == NULL)
 		return;
-	mh_cell_cancel(g->job->cell, g->job);
+	mh_sched_cancel(g->job->sched, g->job);
 	free_guest(b, g);
 }
 
@@ -460,7 +460,7 @@
 
 	m.id = j->id;
 	/* An entry of an earlier version knows no other end. */
-	m.held = end == MH_JOB_HELD;
+	m.held = end == MH_JOB_QUARANTINED;
 	m.end = m.held ? MH_JOB_FAILED : end;
 	m.retry_us = (uint64_t)MAX(retry_us, 0);
 	m.n_stages = end == MH_JOB_DONE ? j->n_stages : 0;
@@ -496,7 +496,7 @@
 	if (g != NULL && made != NULL) {
 		m.id = j->id;
 		m.stage = stage;
-		if (mh_job_stage_made(&j->stages[stage])) {
+		if (mh_job_stage_done(&j->stages[stage])) {
 			m.results = made;
 			m.n_results = j->stages[stage].results->len;
 		} else {
@@ -516,7 +516,7 @@
 {
 	struct guest *g = g_hash_table_lookup(b->guest_jobs, j);
 
-	if (g == NULL && end == MH_JOB_MOVED) {
+	if (g == NULL && end == MH_JOB_HANDED_OFF) {
 		submit_again(b, j, "here");
 		return;
 	}
@@ -528,7 +528,7 @@
 	 * The last stage first: told of an earlier one, the asker forgets what
 	 * a stage reads that it still takes for made, and it is made again.
 	 */
-	for (uint32_t s = j->n_stages; s > 0 && end == MH_JOB_MOVED; s--)
+	for (uint32_t s = j->n_stages; s > 0 && end == MH_JOB_HANDED_OFF; s--)
 		mh_broker_cell_step(b, j, s - 1);
 	send_end(b, g, end, retry_us);
 	if (end != MH_JOB_DONE)
@@ -547,7 +547,7 @@
 
 		if (strcmp(g->node, node) != 0)
 			continue;
-		mh_cell_cancel(g->job->cell, g->job);
+		mh_sched_cancel(g->job->sched, g->job);
 		free_guest(b, g);
 	}
 	g_list_free(all);
@@ -585,14 +585,14 @@
  * did not know of.  Once a change: who still takes us for the home is served.
  */
 static void
-look_at(void *arg, struct mh_cell *c, uint32_t index, uint32_t count)
+look_at(void *arg, struct mh_sched *c, uint32_t index, uint32_t count)
 {
 	struct mh_broker *b = arg;
 	char work[MH_WORK_LEN];
 	uint32_t looks;
 
 	looks = GPOINTER_TO_UINT(g_hash_table_lookup(b->looks, c));
-	if (mh_cell_idle(c) && looks == 0)
+	if (mh_sched_is_idle(c) && looks == 0)
 		return;
 	/*
 	 * Home again, be it without work: unseen, the next time that it is no
@@ -603,12 +603,12 @@
 		g_hash_table_remove(b->looks, c);
 		return;
 	}
-	if (mh_cell_idle(c))
+	if (mh_sched_is_idle(c))
 		return;
 	if (looks < LOOKS)
 		g_hash_table_insert(b->looks, c, GUINT_TO_POINTER(looks + 1));
 	if (looks + 1 == LOOKS)
-		mh_cell_leave(c);
+		mh_sched_drain(c);
 }
 
 static void
@@ -617,7 +617,7 @@
 	struct mh_broker *b = arg;
 
 	b->look_timer = mh_timer_start(b->k, LOOK_US, on_look, b);
-	mh_cells_each(b->cells, look_at, b);
+	mh_scheds_foreach(b->cells, look_at, b);
 }
 
 void
@@ -631,7 +631,7 @@
 }
 
 struct mh_broker *
-mh_broker_create(struct mh_kern *k, struct mh_mesh *m, struct mh_cells *cells)
+mh_broker_create(struct mh_kern *k, struct mh_mesh *m, struct mh_scheds *cells)
 {
 	struct mh_broker *b = g_new0(struct mh_broker, 1);
 
@@ -668,7 +668,7 @@
 	for (GList *l = all; l != NULL; l = l->next) {
 		struct guest *g = l->data;
 
-		mh_cell_cancel(g->job->cell, g->job);
+		mh_sched_cancel(g->job->sched, g->job);
 		free_guest(b, g);
 	}
 	g_list_free(all);
--- a/lib/gate.h
+++ b/lib/gate.h
@@ -335,10 +335,10 @@
 
 /* sched.c: schedules and batches the stage work of many requests */
 
-struct mh_cell;
+struct mh_sched;
 
-/** struct mh_jstage - one stage of a job. */
-struct mh_jstage {
+/** struct mh_job_stage - one stage of a job. */
+struct mh_job_stage {
 	char *pool;
 	uint32_t after; /* bit mask of the stages whose results it reads */
 	uint32_t pieces; /* 0: the job skips this stage */
@@ -350,8 +350,8 @@
 	MH_JOB_DONE,
 	MH_JOB_REFUSED, /* would miss its deadline */
 	MH_JOB_FAILED, /* a piece ran out of tries or retry budget */
-	MH_JOB_HELD, /* its request is quarantined as a poison request */
-	MH_JOB_MOVED /* to another coordinator, with its results */
+	MH_JOB_QUARANTINED, /* its request is quarantined as a poison request */
+	MH_JOB_HANDED_OFF /* to another coordinator, with its results */
 };
 
 /** struct mh_job - the stage work of one request. */
@@ -360,54 +360,54 @@
 	char *key; /* input of the stages that read no other stage */
 	char *domain; /* failure domain of their reader, NULL: unknown */
 	char *route;
-	uint64_t print; /* of its request, see poison.h; 0: unknown */
+	uint64_t fingerprint; /* of its request, see poison.h; 0: unknown */
 	uint32_t priority;
 	double weight; /* its value over the mean of its route, 0: unknown */
-	bool returned; /* a retry after a refusal */
-	bool moved; /* another scheduler had it before */
+	bool refused_before; /* a retry after a refusal */
+	bool handed_off; /* another scheduler had it before */
 	int64_t arrived_us;
-	int64_t aim_us; /* absolute latency objective of the stage work */
+	int64_t slo_us; /* absolute latency objective of the stage work */
 	int64_t deadline_us; /* absolute */
-	struct mh_jstage stages[MH_GSTAGES];
+	struct mh_job_stage stages[MH_GSTAGES];
 	uint32_t n_stages;
-	void *owner; /* set and used by the submitter */
-	struct mh_cell *cell; /* NULL before mh_cell_submit() */
-	struct mh_jstate *state; /* private to the scheduler */
+	void *submitter; /* set and used by the submitter */
+	struct mh_sched *sched; /* NULL before mh_sched_submit() */
+	struct mh_job_state *state; /* private to the scheduler */
 };
 
 struct mh_job *mh_job_create(const char *id);
 void mh_job_destroy(struct mh_job *j);
-/** mh_job_stage_made() - whether all results of a stage are computed. */
-bool mh_job_stage_made(const struct mh_jstage *st);
+/** mh_job_stage_done() - whether all results of a stage are computed. */
+bool mh_job_stage_done(const struct mh_job_stage *st);
 /**
- * mh_job_made() - sets the results of a stage, which are copied; NULL or "":
- * not computed.
+ * mh_job_set_results() - sets the results of a stage, which are copied; NULL or
+ * "": not computed.
  */
-void mh_job_made(
+void mh_job_set_results(
     struct mh_job *j, uint32_t stage, char *const *results, size_t n);
-/** mh_job_forget_read() - drops results that are not needed any more. */
-void mh_job_forget_read(struct mh_job *j);
+/** mh_job_drop_unneeded() - drops results that are not needed any more. */
+void mh_job_drop_unneeded(struct mh_job *j);
 /**
- * mh_job_wants() - whether the results of a stage are needed: as results of the
- * job, or by a needed stage that is not done.
+ * mh_job_needs_stage() - whether the results of a stage are needed: as results
+ * of the job, or by a needed stage that is not done.
  */
-bool mh_job_wants(const struct mh_job *j, uint32_t stage);
+bool mh_job_needs_stage(const struct mh_job *j, uint32_t stage);
 /**
- * mh_job_finals() - the results of a finished job that no stage reads.
+ * mh_job_final_results() - the results of a finished job that no stage reads.
  *
  * Return: comma-separated, for the caller to free.
  */
-char *mh_job_finals(const struct mh_job *j);
+char *mh_job_final_results(const struct mh_job *j);
 
 /** struct mh_batch_item - one piece in a call. */
 struct mh_batch_item {
 	struct mh_job *job; /* NULL: ended or cancelled since */
 	uint32_t stage;
 	uint32_t piece;
-	uint64_t bytes; /* result memory that it takes */
+	uint64_t result_bytes; /* result memory that it takes */
 	char *result; /* NULL: none */
-	bool inputs_gone; /* the endpoint did not find its inputs */
-	bool no_room; /* the endpoint had no result memory for it */
+	bool inputs_lost; /* the endpoint did not find its inputs */
+	bool no_memory; /* the endpoint had no result memory for it */
 };
 
 /** struct mh_batch - one call to an endpoint of a stage pool. */
@@ -419,12 +419,12 @@
 	GArray *items; /* struct mh_batch_item */
 	int64_t sent_us;
 	int64_t expect_us; /* estimated duration of the call */
-	bool doubled; /* overdue: its pieces were queued again */
-	bool broke; /* the endpoint may have crashed */
-	uint32_t others; /* other calls waiting there when it ended */
-	struct mh_cell *cell;
-	struct mh_timer *fed; /* fires when inputs should be read */
-	bool freed; /* @read_timer has fired and inputs were freed */
+	bool requeued; /* overdue: its pieces were queued again */
+	bool conn_lost; /* the endpoint may have crashed */
+	uint32_t others_waiting; /* other calls waiting there when it ended */
+	struct mh_sched *sched;
+	struct mh_timer *read_timer; /* fires when inputs should be read */
+	bool inputs_freed; /* @read_timer has fired and inputs were freed */
 	void *call; /* for the implementation of run() */
 };
 
@@ -436,102 +436,102 @@
 
 /** struct mh_work_report - what a stage endpoint reports about itself. */
 struct mh_work_report {
-	int64_t born_ms; /* Unix time of its start; 0: not reported */
+	int64_t start_ms; /* Unix time of its start; 0: not reported */
 	uint32_t running; /* calls */
 	uint32_t waiting; /* calls */
 };
 
-struct mh_cell_ops {
+struct mh_sched_ops {
 	void (*run)(void *arg, struct mh_batch *b);
 	void (*abort)(void *arg, struct mh_batch *b);
 	/*
 	 * A stage of @j is done and the job is not, or a stage that was done
 	 * is to be recomputed; NULL: not reported.
 	 */
-	void (*step)(void *arg, struct mh_job *j, uint32_t stage);
+	void (*stage_changed)(void *arg, struct mh_job *j, uint32_t stage);
 	/*
 	 * The submitter destroys @j; if it ended with MH_JOB_DONE, it first
-	 * frees the results by mh_cell_release().  @retry_us: for a refused or
+	 * frees the results by mh_sched_release().  @retry_us: for a refused or
 	 * quarantined job, when a retry may succeed, from now.
 	 */
 	void (*end)(
 	    void *arg, struct mh_job *j, enum mh_job_end end, int64_t retry_us);
 	void (*discard)(void *arg, const char *result);
 	/*
-	 * Polls an endpoint for its report, which is passed to mh_cell_told();
-	 * NULL: not supported.
+	 * Polls an endpoint for its report, which is passed to
+	 * mh_sched_report(); NULL: not supported.
 	 */
-	void (*ask)(void *arg, struct mh_cell *sc, const char *node);
+	void (*poll)(void *arg, struct mh_sched *sc, const char *node);
 	void *arg;
 };
 
-/** mh_cell_create() - @budget limits the retries of pieces; not owned. */
-struct mh_cell *mh_cell_create(struct mh_kern *k, struct mh_fleet *f,
-    struct mh_budget *budget, const struct mh_cell_ops *ops);
-void mh_cell_destroy(struct mh_cell *sc);
-/** mh_cell_slice() - assigns slice @index of @count of every pool. */
-void mh_cell_slice(struct mh_cell *sc, uint32_t index, uint32_t count);
-void mh_cell_conf(struct mh_cell *sc, struct mh_gconf *conf);
-void mh_cell_submit(struct mh_cell *sc, struct mh_job *j);
-/** mh_cell_cancel() - removes the job without calling end(). */
-void mh_cell_cancel(struct mh_cell *sc, struct mh_job *j);
-void mh_cell_batch_end(
-    struct mh_cell *sc, struct mh_batch *b, enum mh_batch_end end);
-/** mh_cell_told() - takes an endpoint's report; NULL: the poll failed. */
-void mh_cell_told(
-    struct mh_cell *sc, const char *node, const struct mh_work_report *r);
-/** mh_cell_restarted() - an endpoint has lost its calls and results. */
-void mh_cell_restarted(struct mh_cell *sc, const char *node);
-/** mh_cell_release() - frees the results and the state of an ended job. */
-void mh_cell_release(struct mh_cell *sc, struct mh_job *j);
+/** mh_sched_create() - @budget limits the retries of pieces; not owned. */
+struct mh_sched *mh_sched_create(struct mh_kern *k, struct mh_fleet *f,
+    struct mh_budget *budget, const struct mh_sched_ops *ops);
+void mh_sched_destroy(struct mh_sched *sc);
+/** mh_sched_set_slice() - assigns slice @index of @count of every pool. */
+void mh_sched_set_slice(struct mh_sched *sc, uint32_t index, uint32_t count);
+void mh_sched_set_conf(struct mh_sched *sc, struct mh_gconf *conf);
+void mh_sched_submit(struct mh_sched *sc, struct mh_job *j);
+/** mh_sched_cancel() - removes the job without calling end(). */
+void mh_sched_cancel(struct mh_sched *sc, struct mh_job *j);
+void mh_sched_batch_end(
+    struct mh_sched *sc, struct mh_batch *b, enum mh_batch_end end);
+/** mh_sched_report() - takes an endpoint's report; NULL: the poll failed. */
+void mh_sched_report(
+    struct mh_sched *sc, const char *node, const struct mh_work_report *r);
+/** mh_sched_node_restarted() - an endpoint has lost its calls and results. */
+void mh_sched_node_restarted(struct mh_sched *sc, const char *node);
+/** mh_sched_release() - frees the results and the state of an ended job. */
+void mh_sched_release(struct mh_sched *sc, struct mh_job *j);
 /**
- * mh_cell_leave() - hands off all jobs with their results, each once none of
- * its pieces is in a call: they end with MH_JOB_MOVED.
+ * mh_sched_drain() - hands off all jobs with their results, each once none of
+ * its pieces is in a call: they end with MH_JOB_HANDED_OFF.
  */
-void mh_cell_leave(struct mh_cell *sc);
-/** mh_cell_held() - ends the jobs of a quarantined request. */
-void mh_cell_held(struct mh_cell *sc, uint64_t fingerprint);
-/** mh_cell_idle() - whether it has no jobs. */
-bool mh_cell_idle(const struct mh_cell *sc);
-/** mh_cell_backlog_us() - time to process the queued pieces of a pool. */
-int64_t mh_cell_backlog_us(struct mh_cell *sc, const char *pool);
+void mh_sched_drain(struct mh_sched *sc);
+/** mh_sched_quarantine() - ends the jobs of a quarantined request. */
+void mh_sched_quarantine(struct mh_sched *sc, uint64_t fingerprint);
+/** mh_sched_is_idle() - whether it has no jobs. */
+bool mh_sched_is_idle(const struct mh_sched *sc);
+/** mh_sched_backlog_us() - time to process the queued pieces of a pool. */
+int64_t mh_sched_backlog_us(struct mh_sched *sc, const char *pool);
 
 /* scheds.c: the stage schedulers of a process, one for each slice */
 
-struct mh_cells;
+struct mh_scheds;
 
 #define MH_SLICES 64 /* maximum number of slices */
 
-struct mh_cells *mh_cells_create(struct mh_kern *k, struct mh_fleet *f,
-    struct mh_budget *budget, const struct mh_cell_ops *ops);
-void mh_cells_destroy(struct mh_cells *scs);
-void mh_cells_conf(struct mh_cells *scs, struct mh_gconf *conf);
-void mh_cells_leave(struct mh_cells *scs);
-/** mh_cells_each() - calls @fn for each scheduler; @fn may create more. */
-void mh_cells_each(struct mh_cells *scs,
-    void (*fn)(void *arg, struct mh_cell *sc, uint32_t index, uint32_t count),
+struct mh_scheds *mh_scheds_create(struct mh_kern *k, struct mh_fleet *f,
+    struct mh_budget *budget, const struct mh_sched_ops *ops);
+void mh_scheds_destroy(struct mh_scheds *scs);
+void mh_scheds_set_conf(struct mh_scheds *scs, struct mh_gconf *conf);
+void mh_scheds_drain(struct mh_scheds *scs);
+/** mh_scheds_foreach() - calls @fn for each scheduler; @fn may create more. */
+void mh_scheds_foreach(struct mh_scheds *scs,
+    void (*fn)(void *arg, struct mh_sched *sc, uint32_t index, uint32_t count),
     void *arg);
-/** mh_cells_discard() - frees a result that no scheduler here tracks. */
-void mh_cells_discard(struct mh_cells *scs, const char *result);
-void mh_cells_restarted(struct mh_cells *scs, const char *node);
-/** mh_cells_held() - mh_cell_held() of every scheduler. */
-void mh_cells_held(struct mh_cells *scs, uint64_t fingerprint);
-/** mh_cells_get() - the scheduler of a slice, created on first use. */
-struct mh_cell *mh_cells_get(
-    struct mh_cells *scs, uint32_t index, uint32_t count);
-/** mh_cells_count() - current number of slices. */
-uint32_t mh_cells_count(struct mh_cells *scs);
+/** mh_scheds_discard() - frees a result that no scheduler here tracks. */
+void mh_scheds_discard(struct mh_scheds *scs, const char *result);
+void mh_scheds_node_restarted(struct mh_scheds *scs, const char *node);
+/** mh_scheds_quarantine() - mh_sched_quarantine() of every scheduler. */
+void mh_scheds_quarantine(struct mh_scheds *scs, uint64_t fingerprint);
+/** mh_scheds_get() - the scheduler of a slice, created on first use. */
+struct mh_sched *mh_scheds_get(
+    struct mh_scheds *scs, uint32_t index, uint32_t count);
+/** mh_scheds_count() - current number of slices. */
+uint32_t mh_scheds_count(struct mh_scheds *scs);
 /**
- * mh_cells_share() - the smallest share that a slice has of any pool's
+ * mh_scheds_share() - the smallest share that a slice has of any pool's
  * endpoints, 0 to 1.
  */
-double mh_cells_share(struct mh_cells *scs, uint32_t index);
+double mh_scheds_share(struct mh_scheds *scs, uint32_t index);
 /**
- * mh_cells_pick() - picks one of the slices @some, weighted by their shares;
+ * mh_scheds_pick() - picks one of the slices @some, weighted by their shares;
  * @unit is a random number in [0, 1).
  */
-uint32_t mh_cells_pick(
-    struct mh_cells *scs, const uint32_t *some, uint32_t n, double unit);
+uint32_t mh_scheds_pick(
+    struct mh_scheds *scs, const uint32_t *some, uint32_t n, double unit);
 
 /* sse.c: complete events of a stream, and its position */
 
--- a/lib/gatejob.c
+++ b/lib/gatejob.c
@@ -50,10 +50,10 @@
 	    q->last_data_us + mh_gate_client_timeout_us(q->route);
 
 	if (q->head_forwarded) {
-		j->aim_us = mh_now(g->k) + q->route->gap_aim_us;
+		j->slo_us = mh_now(g->k) + q->route->gap_aim_us;
 		j->deadline_us = MIN(q->expires_us, leaves_us) - engine_us;
 	} else {
-		j->aim_us = q->slo_by_us - engine_us;
+		j->slo_us = q->slo_by_us - engine_us;
 		j->deadline_us = q->answer_by_us - engine_us;
 	}
 }
@@ -72,9 +72,9 @@
 		j->domain = g_strdup(cached->domain);
 	j->key = g_strdup(q->piece_key);
 	j->route = g_strdup(r->name);
-	j->print = q->fingerprint;
+	j->fingerprint = q->fingerprint;
 	j->priority = q->priority;
-	j->returned = q->returned;
+	j->refused_before = q->returned;
 	j->weight = job_weight(g, q);
 	j->arrived_us = q->arrived_us;
 	set_times(g, q, j);
@@ -85,7 +85,7 @@
 		j->stages[s].result_bytes = r->stages[s].result_bytes;
 		j->stages[s].pieces = s < q->n_pieces ? q->pieces[s] : 0;
 	}
-	j->owner = q;
+	j->submitter = q;
 	q->job = j;
 	q->n_jobs++;
 	q->state = MH_GREQ_STAGES;
@@ -110,14 +110,14 @@
 mh_gate_job_end(
     struct mh_gate *g, struct mh_job *j, enum mh_job_end end, int64_t retry_us)
 {
-	struct mh_greq *q = j->owner;
+	struct mh_greq *q = j->submitter;
 
 	switch (end) {
 	case MH_JOB_DONE:
 		mh_observe(g->k, "stage_work", mh_now(g->k) - q->arrived_us);
 		q->state = MH_GREQ_TRYING;
 		g_free(q->inputs);
-		q->inputs = mh_job_finals(j);
+		q->inputs = mh_job_final_results(j);
 		mh_gate_try_next(g, q);
 		return;
 	case MH_JOB_REFUSED:
@@ -125,7 +125,7 @@
 		mh_job_destroy(j);
 		give_up(g, q, MH_TOO_BUSY, retry_us);
 		return;
-	case MH_JOB_HELD:
+	case MH_JOB_QUARANTINED:
 		q->job = NULL;
 		mh_job_destroy(j);
 		mh_gate_refuse(g, q,
@@ -133,7 +133,7 @@
 		    MAX(retry_us, mh_poison_held_us(g->k, q->fingerprint)));
 		return;
 	case MH_JOB_FAILED:
-	case MH_JOB_MOVED:
+	case MH_JOB_HANDED_OFF:
 		q->job = NULL;
 		mh_job_destroy(j);
 		give_up(g, q, MH_NO_ENDPOINT, retry_us);
--- a/lib/gatelog.c
+++ b/lib/gatelog.c
@@ -75,10 +75,10 @@
 	uint32_t made = 0, stages = 0;
 
 	for (uint32_t s = 0; q->job != NULL && s < q->job->n_stages; s++) {
-		const struct mh_jstage *st = &q->job->stages[s];
+		const struct mh_job_stage *st = &q->job->stages[s];
 
 		stages += st->pieces > 0;
-		made += st->pieces > 0 && mh_job_stage_made(st);
+		made += st->pieces > 0 && mh_job_stage_done(st);
 	}
 	mh_count(g->k, "cut", 1);
 	mh_event(g->k, "cut",
--- a/lib/job.c
+++ b/lib/job.c
@@ -2,7 +2,7 @@
  * DOC: Jobs: the stage work of one request, as it is submitted.
  */
 
-#include "cell.h"
+#include "schedint.h"
 
 #include <string.h>
 
@@ -33,7 +33,7 @@
 }
 
 bool
-mh_job_stage_made(const struct mh_jstage *st)
+mh_job_stage_done(const struct mh_job_stage *st)
 {
 	if (st->results == NULL || st->results->len != st->pieces)
 		return st->pieces == 0;
@@ -47,9 +47,10 @@
 }
 
 void
-mh_job_made(struct mh_job *j, uint32_t stage, char *const *results, size_t n)
+mh_job_set_results(
+    struct mh_job *j, uint32_t stage, char *const *results, size_t n)
 {
-	struct mh_jstage *st = &j->stages[stage];
+	struct mh_job_stage *st = &j->stages[stage];
 
 	if (st->results != NULL)
 		g_ptr_array_free(st->results, TRUE);
@@ -62,7 +63,7 @@
 }
 
 bool
-mh_job_wants(const struct mh_job *j, uint32_t stage)
+mh_job_needs_stage(const struct mh_job *j, uint32_t stage)
 {
 	bool read = false;
 
@@ -70,7 +71,8 @@
 		if ((j->stages[t].after >> stage & 1) == 0 ||
 		    j->stages[t].pieces == 0)
 			continue;
-		if (!mh_job_stage_made(&j->stages[t]) && mh_job_wants(j, t))
+		if (!mh_job_stage_done(&j->stages[t]) &&
+		    mh_job_needs_stage(j, t))
 			return true;
 		read = true;
 	}
@@ -78,12 +80,12 @@
 }
 
 void
-mh_job_forget_read(struct mh_job *j)
+mh_job_drop_unneeded(struct mh_job *j)
 {
 	for (uint32_t s = 0; s < j->n_stages; s++) {
-		struct mh_jstage *st = &j->stages[s];
+		struct mh_job_stage *st = &j->stages[s];
 
-		if (st->results == NULL || mh_job_wants(j, s))
+		if (st->results == NULL || mh_job_needs_stage(j, s))
 			continue;
 		g_ptr_array_free(st->results, TRUE);
 		st->results = NULL;
@@ -91,14 +93,14 @@
 }
 
 char *
-mh_job_finals(const struct mh_job *j)
+mh_job_final_results(const struct mh_job *j)
 {
 	GString *g = g_string_new(NULL);
 
 	for (uint32_t s = 0; s < j->n_stages; s++) {
-		const struct mh_jstage *st = &j->stages[s];
+		const struct mh_job_stage *st = &j->stages[s];
 
-		if (st->pieces == 0 || mh_cell_followers(j, s) > 0)
+		if (st->pieces == 0 || mh_sched_readers(j, s) > 0)
 			continue;
 		for (uint32_t i = 0; i < st->results->len; i++) {
 			if (g->len > 0)
--- a/lib/mesh.h
+++ b/lib/mesh.h
@@ -207,7 +207,7 @@
 	struct mh_mesh *mesh;
 	struct mh_fleet *fleet;
 	struct mh_gate *gate;
-	struct mh_cells *cells; /* NULL: no stage work */
+	struct mh_scheds *cells; /* NULL: no stage work */
 };
 
 /** mh_poison_mesh_create() - makes service "poison" of an entry. */
@@ -221,7 +221,7 @@
 struct mh_broker;
 
 struct mh_broker *mh_broker_create(
-    struct mh_kern *k, struct mh_mesh *m, struct mh_cells *cells);
+    struct mh_kern *k, struct mh_mesh *m, struct mh_scheds *cells);
 void mh_broker_destroy(struct mh_broker *b);
 /** mh_broker_on_end() - a job that was submitted here has ended. */
 void mh_broker_on_end(struct mh_broker *b,
--- a/lib/poisonmesh.c
+++ b/lib/poisonmesh.c
@@ -47,7 +47,7 @@
 
 	mh_gate_quarantine(p->a.gate, print);
 	if (p->a.cells != NULL)
-		mh_cells_held(p->a.cells, print);
+		mh_scheds_quarantine(p->a.cells, print);
 }
 
 static void
--- a/lib/cell.c
+++ b/lib/sched.c
@@ -10,7 +10,7 @@
  * cannot meet its deadline ends at once.
  */
 
-#include "cell.h"
+#include "schedint.h"
 
 #include <string.h>
 
@@ -45,14 +45,14 @@
 free_state(struct mh_job *j)
 {
 	for (uint32_t s = 0; s < j->n_stages; s++)
-		g_free(j->state->stages[s].made);
+		g_free(j->state->stages[s].pieces);
 	g_free(j->state);
 	j->state = NULL;
 }
 
 /* Removes the job from all calls and from the list of jobs. */
 static void
-detach(struct mh_cell *sc, struct mh_job *j)
+detach(struct mh_sched *sc, struct mh_job *j)
 {
 	GHashTableIter it;
 	gpointer key, value;
@@ -73,35 +73,35 @@
 }
 
 static void
-end_job(
-    struct mh_cell *sc, struct mh_job *j, enum mh_job_end end, int64_t retry_us)
+end_job(struct mh_sched *sc, struct mh_job *j, enum mh_job_end end,
+    int64_t retry_us)
 {
 	detach(sc, j);
 	switch (end) {
 	case MH_JOB_DONE:
-		g_ptr_array_add(sc->ended, j);
+		g_ptr_array_add(sc->done_jobs, j);
 		break;
-	case MH_JOB_MOVED:
-		mh_cell_hand_on(sc, j);
+	case MH_JOB_HANDED_OFF:
+		mh_sched_hand_off(sc, j);
 		free_state(j);
 		break;
 	case MH_JOB_REFUSED:
 	case MH_JOB_FAILED:
-	case MH_JOB_HELD:
-		mh_cell_release(sc, j);
+	case MH_JOB_QUARANTINED:
+		mh_sched_release(sc, j);
 		break;
 	}
 	sc->ops.end(sc->ops.arg, j, end, retry_us);
 }
 
 void
-mh_cell_held(struct mh_cell *sc, uint64_t fingerprint)
+mh_sched_quarantine(struct mh_sched *sc, uint64_t fingerprint)
 {
 	for (guint i = 0; i < sc->jobs->len;) {
 		struct mh_job *j = g_ptr_array_index(sc->jobs, i);
 
-		if (j->print == fingerprint)
-			end_job(sc, j, MH_JOB_HELD,
+		if (j->fingerprint == fingerprint)
+			end_job(sc, j, MH_JOB_QUARANTINED,
 			    mh_poison_held_us(sc->k, fingerprint));
 		else
 			i++;
@@ -109,24 +109,24 @@
 }
 
 void
-mh_cell_release(struct mh_cell *sc, struct mh_job *j)
+mh_sched_release(struct mh_sched *sc, struct mh_job *j)
 {
 	if (j->state == NULL)
 		return;
 	for (uint32_t s = 0; s < j->n_stages; s++)
-		mh_cell_drop_results(sc, j, s);
-	g_ptr_array_remove(sc->ended, j);
+		mh_sched_drop_results(sc, j, s);
+	g_ptr_array_remove(sc->done_jobs, j);
 	free_state(j);
 }
 
 void
-mh_cell_cancel(struct mh_cell *sc, struct mh_job *j)
+mh_sched_cancel(struct mh_sched *sc, struct mh_job *j)
 {
 	if (j->state == NULL)
 		return;
 	detach(sc, j);
-	mh_cell_release(sc, j);
-	mh_cell_dispatch_all(sc);
+	mh_sched_release(sc, j);
+	mh_sched_dispatch_all(sc);
 }
 
 /*
@@ -137,140 +137,141 @@
 skip_unneeded(struct mh_job *j)
 {
 	for (uint32_t s = 0; s < j->n_stages; s++) {
-		struct sstate *ss = &j->state->stages[s];
+		struct stage_state *ss = &j->state->stages[s];
 
 		j->state->started =
-		    j->state->started || ss->left < j->stages[s].pieces;
-		if (mh_job_wants(j, s))
+		    j->state->started || ss->remaining < j->stages[s].pieces;
+		if (mh_job_needs_stage(j, s))
 			continue;
-		ss->left = 0;
+		ss->remaining = 0;
 		for (uint32_t i = 0; i < j->stages[s].pieces; i++)
-			ss->made[i].need = false;
+			ss->pieces[i].needed = false;
 	}
 }
 
 static void
-start_state(struct mh_cell *sc, struct mh_job *j)
+start_state(struct mh_sched *sc, struct mh_job *j)
 {
-	j->state = g_new0(struct mh_jstate, 1);
-	j->state->stale = true;
+	j->state = g_new0(struct mh_job_state, 1);
+	j->state->paths_stale = true;
 	for (uint32_t s = 0; s < j->n_stages; s++) {
-		struct mh_jstage *st = &j->stages[s];
-		struct sstate *ss = &j->state->stages[s];
+		struct mh_job_stage *st = &j->stages[s];
+		struct stage_state *ss = &j->state->stages[s];
 
-		ss->pool = mh_cell_pool_of(sc, st->pool);
-		ss->factor = mh_cell_item_factor(sc, j->route, s);
-		ss->made = g_new0(struct piece_state, MAX(st->pieces, 1));
+		ss->pool = mh_sched_pool_of(sc, st->pool);
+		ss->cost_factor = mh_sched_item_factor(sc, j->route, s);
+		ss->pieces = g_new0(struct piece_state, MAX(st->pieces, 1));
 		if (st->results == NULL) {
 			st->results = g_ptr_array_new_with_free_func(g_free);
 			g_ptr_array_set_size(st->results, (gint)st->pieces);
 		}
 		for (uint32_t i = 0; i < st->pieces; i++) {
-			ss->made[i].need =
+			ss->pieces[i].needed =
 			    g_ptr_array_index(st->results, i) == NULL;
-			ss->left += ss->made[i].need;
+			ss->remaining += ss->pieces[i].needed;
 		}
 	}
 	skip_unneeded(j);
 	for (uint32_t s = 0; s < j->n_stages; s++)
-		mh_cell_know_makers(sc, j, s);
+		mh_sched_locate_results(sc, j, s);
 }
 
 void
-mh_cell_submit(struct mh_cell *sc, struct mh_job *j)
+mh_sched_submit(struct mh_sched *sc, struct mh_job *j)
 {
-	j->cell = sc;
+	j->sched = sc;
 	start_state(sc, j);
-	if (mh_cell_left_us(j) == 0) {
-		g_ptr_array_add(sc->ended, j);
+	if (mh_sched_remaining_us(j) == 0) {
+		g_ptr_array_add(sc->done_jobs, j);
 		sc->ops.end(sc->ops.arg, j, MH_JOB_DONE, 0);
 		return;
 	}
-	if (mh_poison_held_us(sc->k, j->print) > 0) {
-		mh_cell_release(sc, j);
-		sc->ops.end(sc->ops.arg, j, MH_JOB_HELD,
-		    mh_poison_held_us(sc->k, j->print));
+	if (mh_poison_held_us(sc->k, j->fingerprint) > 0) {
+		mh_sched_release(sc, j);
+		sc->ops.end(sc->ops.arg, j, MH_JOB_QUARANTINED,
+		    mh_poison_held_us(sc->k, j->fingerprint));
 		return;
 	}
-	if (!mh_cell_admit(sc, j)) {
-		int64_t retry = mh_cell_room_in_us(sc, j);
+	if (!mh_sched_admit(sc, j)) {
+		int64_t retry = mh_sched_max_backlog_us(sc, j);
 
 		mh_count(sc->k, "jobs_refused", 1);
-		mh_cell_release(sc, j);
+		mh_sched_release(sc, j);
 		sc->ops.end(sc->ops.arg, j, MH_JOB_REFUSED, retry);
 		return;
 	}
 	mh_count(sc->k, "jobs_taken", 1);
-	if (!j->state->late)
-		mh_cell_note_fresh(sc, j);
-	if (j->moved)
-		sc->moved_us = mh_now(sc->k);
+	if (!j->state->misses_slo)
+		mh_sched_note_arrival(sc, j);
+	if (j->handed_off)
+		sc->last_handoff_us = mh_now(sc->k);
 	g_ptr_array_add(sc->jobs, j);
 	if (sc->tick == NULL)
 		sc->tick = mh_timer_start(sc->k, TICK_US, on_tick, sc);
-	mh_cell_dispatch_all(sc);
+	mh_sched_dispatch_all(sc);
 }
 
 static void
-stage_done(struct mh_cell *sc, struct mh_job *j, uint32_t stage)
+stage_done(struct mh_sched *sc, struct mh_job *j, uint32_t stage)
 {
-	mh_cell_drop_inputs(sc, j, stage);
+	mh_sched_drop_inputs(sc, j, stage);
 	for (uint32_t s = 0; s < j->n_stages; s++) {
-		if (mh_cell_todo(j, s) == 0)
+		if (mh_sched_remaining(j, s) == 0)
 			continue;
-		if (sc->ops.step != NULL)
-			sc->ops.step(sc->ops.arg, j, stage);
+		if (sc->ops.stage_changed != NULL)
+			sc->ops.stage_changed(sc->ops.arg, j, stage);
 		return;
 	}
 	end_job(sc, j, MH_JOB_DONE, 0);
 }
 
 static void
-finish_item(struct mh_cell *sc, struct mh_batch *b, struct worker *w,
+finish_item(struct mh_sched *sc, struct mh_batch *b, struct worker *w,
     struct mh_batch_item *m, enum mh_batch_end end)
 {
 	struct mh_job *j = m->job;
-	struct sstate *ss = &j->state->stages[m->stage];
-	struct piece_state *ps = &ss->made[m->piece];
+	struct stage_state *ss = &j->state->stages[m->stage];
+	struct piece_state *ps = &ss->pieces[m->piece];
 	char **slot =
 	    (char **)&g_ptr_array_index(j->stages[m->stage].results, m->piece);
 
-	if (!b->doubled) {
-		ps->flying = false;
-		ss->flying--;
+	if (!b->requeued) {
+		ps->in_flight = false;
+		ss->in_flight--;
 	}
-	if (m->result != NULL && ps->need) {
+	if (m->result != NULL && ps->needed) {
 		*slot = m->result;
 		m->result = NULL;
 		ps->worker = w;
 		ps->node = b->node_name;
-		ss->left--;
-		j->state->stale = true;
-		ps->need = false;
-		if (ss->left == 0)
+		ss->remaining--;
+		j->state->paths_stale = true;
+		ps->needed = false;
+		if (ss->remaining == 0)
 			stage_done(sc, j, m->stage);
 		return;
 	}
-	mh_cell_give_room(w, m->bytes);
+	mh_sched_memory_freed(w, m->result_bytes);
 	if (m->result != NULL) { /* another call has computed the piece, and
 				  * its result may be used up already */
 		sc->ops.discard(sc->ops.arg, m->result);
 		return;
 	}
-	if (m->inputs_gone) {
-		w->shared_us = mh_now(sc->k) + SHARED_HOLD_US;
-		if (b->freed && !mh_cell_doubts_inputs(sc, j, m->stage))
+	if (m->inputs_lost) {
+		w->shared_end_us = mh_now(sc->k) + SHARED_HOLD_US;
+		if (b->inputs_freed &&
+		    !mh_sched_inputs_suspect(sc, j, m->stage))
 			/* they were freed before the call read them */
-			ss->pool->shared_us = w->shared_us;
-		mh_cell_remake_inputs(sc, j, m->stage);
+			ss->pool->shared_end_us = w->shared_end_us;
+		mh_sched_recompute_lost(sc, j, m->stage);
 	}
-	if (m->no_room)
-		w->pause_us = mh_now(sc->k) + MEMORY_PAUSE_US;
-	if (b->doubled || !ps->need)
+	if (m->no_memory)
+		w->pause_end_us = mh_now(sc->k) + MEMORY_PAUSE_US;
+	if (b->requeued || !ps->needed)
 		return;
-	if (end == MH_BATCH_FULL || m->no_room) /* the piece did not run */
+	if (end == MH_BATCH_FULL || m->no_memory) /* the piece did not run */
 		ps->tries--;
-	ps->fed = false;
+	ps->inputs_read = false;
 	if (ps->tries >= PIECE_TRIES ||
 	    (end != MH_BATCH_DONE && !mh_budget_take(sc->budget, b->pool))) {
 		mh_event(sc->k, "job-failed",
@@ -279,14 +280,14 @@
 		end_job(sc, j, MH_JOB_FAILED, 0);
 		return;
 	}
-	mh_cell_need_inputs(sc, j, m->stage);
+	mh_sched_recompute_freed(sc, j, m->stage);
 }
 
 static bool
 has_calls(const struct mh_job *j)
 {
 	for (uint32_t s = 0; s < j->n_stages; s++) {
-		if (j->state->stages[s].flying > 0)
+		if (j->state->stages[s].in_flight > 0)
 			return true;
 	}
 	return false;
@@ -299,14 +300,14 @@
  * would be freed before they are read.
  */
 static void
-hand_off_draining(struct mh_cell *sc)
+hand_off_draining(struct mh_sched *sc)
 {
 	/* end() may submit the job to us again, which may end other jobs. */
 	for (guint i = 0; i < sc->jobs->len;) {
 		struct mh_job *j = g_ptr_array_index(sc->jobs, i);
 
-		if (j->state->leaving && !has_calls(j))
-			end_job(sc, j, MH_JOB_MOVED, 0);
+		if (j->state->draining && !has_calls(j))
+			end_job(sc, j, MH_JOB_HANDED_OFF, 0);
 		else
 			i++;
 	}
@@ -315,7 +316,7 @@
 /* Reports the end of a call to the detection of poison requests. */
 static void
 report_requests(
-    struct mh_cell *sc, const struct mh_batch *b, enum mh_batch_end end)
+    struct mh_sched *sc, const struct mh_batch *b, enum mh_batch_end end)
 {
 	const struct mh_node *n = mh_fleet_find(sc->f, b->node);
 
@@ -326,25 +327,26 @@
 		const struct mh_job *j =
 		    g_array_index(b->items, struct mh_batch_item, i).job;
 		struct mh_poison_end e = { b->node, b->pool,
-			j == NULL ? 0 : j->print, b->sent_us, false };
+			j == NULL ? 0 : j->fingerprint, b->sent_us, false };
 
 		if (end == MH_BATCH_DONE && j != NULL)
-			mh_poison_ran(sc->k, j->print, b->pool);
-		else if (end == MH_BATCH_LOST && b->broke && n != NULL &&
+			mh_poison_ran(sc->k, j->fingerprint, b->pool);
+		else if (end == MH_BATCH_LOST && b->conn_lost && n != NULL &&
 		    !n->leaving)
 			mh_poison_broke(sc->k, &e);
 	}
 }
 
 void
-mh_cell_batch_end(struct mh_cell *sc, struct mh_batch *b, enum mh_batch_end end)
+mh_sched_batch_end(
+    struct mh_sched *sc, struct mh_batch *b, enum mh_batch_end end)
 {
-	struct cpool *p = mh_cell_pool_of(sc, b->pool);
-	struct worker *w = mh_cell_worker_of(p, b->node);
+	struct sched_pool *p = mh_sched_pool_of(sc, b->pool);
+	struct worker *w = mh_sched_worker_of(p, b->node);
 	struct mh_node *n = mh_fleet_find(sc->f, b->node);
 
 	b->call = NULL;
-	w->flying -= MIN(w->flying, 1);
+	w->in_flight -= MIN(w->in_flight, 1);
 	b->node_name = g_intern_string(b->node);
 	mh_event(sc->k, "batch-end",
 	    "batch=%" PRIu64 " node=%s end=%s "
@@ -356,21 +358,21 @@
 	    mh_ms(mh_now(sc->k) - b->sent_us), mh_ms(b->expect_us));
 	mh_observe(sc->k, "stage_call", mh_now(sc->k) - b->sent_us);
 	if (end == MH_BATCH_DONE)
-		mh_cell_learn(sc, b, w);
+		mh_sched_learn(sc, b, w);
 	if (end == MH_BATCH_DONE && n != NULL)
 		mh_node_good(sc->f, n, mh_now(sc->k) - b->sent_us);
 	if (end == MH_BATCH_LOST && n != NULL)
 		mh_node_bad(sc->f, n, "stage-call-lost");
 	if (end == MH_BATCH_LOST) /* the endpoint may still run it */
-		w->shared_us = mh_now(sc->k) + SHARED_HOLD_US;
+		w->shared_end_us = mh_now(sc->k) + SHARED_HOLD_US;
 	if (end == MH_BATCH_FULL) {
-		w->pause_us = mh_now(sc->k) + FULL_PAUSE_US;
-		w->shared_us = mh_now(sc->k) + SHARED_HOLD_US;
+		w->pause_end_us = mh_now(sc->k) + FULL_PAUSE_US;
+		w->shared_end_us = mh_now(sc->k) + SHARED_HOLD_US;
 	}
-	if (p->trying == b->id) {
-		p->trying = 0;
+	if (p->trial_batch == b->id) {
+		p->trial_batch = 0;
 		/* finish_item() sets it again if an input is lost */
-		p->shared_us = 0;
+		p->shared_end_us = 0;
 	}
 	report_requests(sc, b, end);
 	sc->dispatching = true; /* no dispatch until all items are processed */
@@ -382,32 +384,32 @@
 			finish_item(sc, b, w, m, end);
 			continue;
 		}
-		mh_cell_give_room(w, m->bytes);
+		mh_sched_memory_freed(w, m->result_bytes);
 		if (m->result != NULL)
 			sc->ops.discard(sc->ops.arg, m->result);
 	}
 	sc->dispatching = false;
-	mh_cell_free_batch(sc, b);
+	mh_sched_free_batch(sc, b);
 	hand_off_draining(sc);
-	mh_cell_dispatch_all(sc);
+	mh_sched_dispatch_all(sc);
 }
 
 /* Queues the pieces of an overdue call again, for another endpoint. */
 static void
-requeue_pieces(struct mh_cell *sc, struct mh_batch *b)
+requeue_pieces(struct mh_sched *sc, struct mh_batch *b)
 {
 	struct worker *w =
-	    mh_cell_worker_of(mh_cell_pool_of(sc, b->pool), b->node);
+	    mh_sched_worker_of(mh_sched_pool_of(sc, b->pool), b->node);
 	struct mh_node *n = mh_fleet_find(sc->f, b->node);
 	double ratio =
 	    (double)(mh_now(sc->k) - b->sent_us) / (double)MAX(b->expect_us, 1);
 
-	w->slow = MAX(w->slow, ratio);
+	w->slowdown = MAX(w->slowdown, ratio);
 	if (n != NULL)
 		mh_node_bad(sc->f, n, "stage-call-overdue");
-	b->doubled = true;
+	b->requeued = true;
 	/* The next calls of these pieces have not read their inputs yet. */
-	mh_timer_stop(sc->k, &b->fed);
+	mh_timer_stop(sc->k, &b->read_timer);
 	mh_count(sc->k, "batches_overdue", 1);
 	mh_event(sc->k, "batch-overdue",
 	    "batch=%" PRIu64 " node=%s "
@@ -416,21 +418,21 @@
 	for (guint i = 0; i < b->items->len; i++) {
 		struct mh_batch_item *m =
 		    &g_array_index(b->items, struct mh_batch_item, i);
-		struct sstate *ss;
+		struct stage_state *ss;
 
 		if (m->job == NULL)
 			continue;
 		ss = &m->job->state->stages[m->stage];
-		ss->made[m->piece].flying = false;
-		ss->made[m->piece].fed = false;
-		ss->flying--;
-		mh_cell_need_inputs(sc, m->job, m->stage);
+		ss->pieces[m->piece].in_flight = false;
+		ss->pieces[m->piece].inputs_read = false;
+		ss->in_flight--;
+		mh_sched_recompute_freed(sc, m->job, m->stage);
 		mh_budget_take(sc->budget, b->pool);
 	}
 }
 
 static void
-check_batches(struct mh_cell *sc)
+check_batches(struct mh_sched *sc)
 {
 	GList *all = g_hash_table_get_values(sc->batches);
 	int64_t now = mh_now(sc->k);
@@ -438,78 +440,79 @@
 	for (GList *l = all; l != NULL; l = l->next) {
 		struct mh_batch *b = l->data;
 		struct worker *w =
-		    mh_cell_worker_of(mh_cell_pool_of(sc, b->pool), b->node);
+		    mh_sched_worker_of(mh_sched_pool_of(sc, b->pool), b->node);
 		double took = (double)(now - b->sent_us - OVERDUE_GRACE_US);
 
-		if (w->shared_us > now)
+		if (w->shared_end_us > now)
 			took /= 2; /* another process's call may run first */
 		if (now - b->sent_us > b->expect_us + POLL_AFTER_US)
-			mh_cell_ask(sc, w, b->node); /* it may be lost */
-		if (!b->doubled && took > OVERDUE_FACTOR * (double)b->expect_us)
+			mh_sched_poll(sc, w, b->node); /* it may be lost */
+		if (!b->requeued &&
+		    took > OVERDUE_FACTOR * (double)b->expect_us)
 			requeue_pieces(sc, b);
 		else if (took > LOST_FACTOR * (double)b->expect_us) {
 			sc->ops.abort(sc->ops.arg, b);
-			mh_cell_batch_end(sc, b, MH_BATCH_LOST);
+			mh_sched_batch_end(sc, b, MH_BATCH_LOST);
 		}
 	}
 	g_list_free(all);
 }
 
 static void
-check_jobs(struct mh_cell *sc)
+check_jobs(struct mh_sched *sc)
 {
 	int64_t now = mh_now(sc->k);
 
 	for (guint i = 0; i < sc->jobs->len;) {
 		struct mh_job *j = g_ptr_array_index(sc->jobs, i);
 
-		if (now + mh_cell_left_us(j) / 2 > j->deadline_us) {
+		if (now + mh_sched_remaining_us(j) / 2 > j->deadline_us) {
 			mh_event(sc->k, "job-hopeless",
 			    "id=%s left_ms=%" PRId64 " need_ms=%" PRId64, j->id,
 			    mh_ms(j->deadline_us - now),
-			    mh_ms(mh_cell_left_us(j)));
-			end_job(
-			    sc, j, MH_JOB_REFUSED, mh_cell_room_in_us(sc, j));
+			    mh_ms(mh_sched_remaining_us(j)));
+			end_job(sc, j, MH_JOB_REFUSED,
+			    mh_sched_max_backlog_us(sc, j));
 			continue;
 		}
-		if (!j->state->late && mh_cell_is_late(sc, j))
-			j->state->late = true;
+		if (!j->state->misses_slo && mh_sched_misses_slo(sc, j))
+			j->state->misses_slo = true;
 		i++;
 	}
 }
 
 bool
-mh_cell_idle(const struct mh_cell *sc)
+mh_sched_is_idle(const struct mh_sched *sc)
 {
 	return sc->jobs->len == 0;
 }
 
 void
-mh_cell_leave(struct mh_cell *sc)
+mh_sched_drain(struct mh_sched *sc)
 {
 	for (guint i = 0; i < sc->jobs->len; i++) {
 		struct mh_job *j = g_ptr_array_index(sc->jobs, i);
 
-		j->state->leaving = true;
+		j->state->draining = true;
 	}
 	hand_off_draining(sc);
 }
 
 static void
-decay_slowdowns(struct mh_cell *sc)
+decay_slowdowns(struct mh_sched *sc)
 {
 	GHashTableIter it, wi;
 	gpointer key, value;
 
 	g_hash_table_iter_init(&it, sc->pools);
 	while (g_hash_table_iter_next(&it, &key, &value)) {
-		struct cpool *p = value;
+		struct sched_pool *p = value;
 
 		g_hash_table_iter_init(&wi, p->workers);
 		while (g_hash_table_iter_next(&wi, &key, &value)) {
 			struct worker *w = value;
 
-			w->slow = 1 + (w->slow - 1) * SLOWDOWN_DECAY;
+			w->slowdown = 1 + (w->slowdown - 1) * SLOWDOWN_DECAY;
 		}
 	}
 }
@@ -517,14 +520,14 @@
 static void
 on_tick(void *arg)
 {
-	struct mh_cell *sc = arg;
+	struct mh_sched *sc = arg;
 
 	sc->tick = NULL;
 	check_batches(sc);
 	check_jobs(sc);
 	hand_off_draining(sc);
 	decay_slowdowns(sc);
-	mh_cell_dispatch_all(sc);
+	mh_sched_dispatch_all(sc);
 	if (sc->jobs->len > 0 || g_hash_table_size(sc->batches) > 0)
 		sc->tick = mh_timer_start(sc->k, TICK_US, on_tick, sc);
 }
@@ -532,7 +535,7 @@
 static void
 free_pool(void *arg)
 {
-	struct cpool *p = arg;
+	struct sched_pool *p = arg;
 
 	g_hash_table_destroy(p->workers);
 	if (p->nodes != NULL)
@@ -541,11 +544,11 @@
 	g_free(p);
 }
 
-struct mh_cell *
-mh_cell_create(struct mh_kern *k, struct mh_fleet *f, struct mh_budget *budget,
-    const struct mh_cell_ops *ops)
+struct mh_sched *
+mh_sched_create(struct mh_kern *k, struct mh_fleet *f, struct mh_budget *budget,
+    const struct mh_sched_ops *ops)
 {
-	struct mh_cell *sc = g_new0(struct mh_cell, 1);
+	struct mh_sched *sc = g_new0(struct mh_sched, 1);
 
 	sc->k = k;
 	sc->f = f;
@@ -553,7 +556,7 @@
 	sc->slices = 1;
 	sc->ops = *ops;
 	sc->jobs = g_ptr_array_new();
-	sc->ended = g_ptr_array_new();
+	sc->done_jobs = g_ptr_array_new();
 	sc->batches = g_hash_table_new(g_int64_hash, g_int64_equal);
 	sc->pools =
 	    g_hash_table_new_full(g_str_hash, g_str_equal, NULL, free_pool);
@@ -565,7 +568,7 @@
 }
 
 void
-mh_cell_destroy(struct mh_cell *sc)
+mh_sched_destroy(struct mh_sched *sc)
 {
 	GList *all;
 
@@ -574,14 +577,14 @@
 	mh_timer_stop(sc->k, &sc->tick);
 	for (guint i = 0; i < sc->jobs->len; i++)
 		free_state(g_ptr_array_index(sc->jobs, i));
-	for (guint i = 0; i < sc->ended->len; i++)
-		free_state(g_ptr_array_index(sc->ended, i));
+	for (guint i = 0; i < sc->done_jobs->len; i++)
+		free_state(g_ptr_array_index(sc->done_jobs, i));
 	all = g_hash_table_get_values(sc->batches);
 	for (GList *l = all; l != NULL; l = l->next)
-		mh_cell_free_batch(sc, l->data);
+		mh_sched_free_batch(sc, l->data);
 	g_list_free(all);
 	g_ptr_array_free(sc->jobs, TRUE);
-	g_ptr_array_free(sc->ended, TRUE);
+	g_ptr_array_free(sc->done_jobs, TRUE);
 	g_hash_table_destroy(sc->batches);
 	g_hash_table_destroy(sc->pools);
 	g_hash_table_destroy(sc->factors);
@@ -591,14 +594,14 @@
 }
 
 void
-mh_cell_slice(struct mh_cell *sc, uint32_t index, uint32_t count)
+mh_sched_set_slice(struct mh_sched *sc, uint32_t index, uint32_t count)
 {
 	sc->slice = index;
 	sc->slices = MAX(count, 1);
 }
 
 void
-mh_cell_conf(struct mh_cell *sc, struct mh_gconf *conf)
+mh_sched_set_conf(struct mh_sched *sc, struct mh_gconf *conf)
 {
 	GHashTableIter it;
 	gpointer key, value;
@@ -607,8 +610,8 @@
 	sc->conf = mh_gconf_ref(conf);
 	g_hash_table_iter_init(&it, sc->pools);
 	while (g_hash_table_iter_next(&it, &key, &value)) {
-		struct cpool *p = value;
+		struct sched_pool *p = value;
 
-		p->work = mh_cell_work_of(sc, p->name);
+		p->work = mh_sched_work_conf(sc, p->name);
 	}
 }
--- a/lib/celladmit.c
+++ b/lib/schedadmit.c
@@ -2,7 +2,7 @@
  * DOC: Admission of new jobs: whether they can be done in time.
  */
 
-#include "cell.h"
+#include "schedint.h"
 
 #include <string.h>
 
@@ -37,7 +37,7 @@
 
 /* Pieces of unfinished jobs that run before @key at a pool. */
 static double
-pieces_before(struct mh_cell *sc, const struct cpool *pool, int64_t key)
+pieces_before(struct mh_sched *sc, const struct sched_pool *pool, int64_t key)
 {
 	double n = 0;
 
@@ -45,10 +45,10 @@
 		struct mh_job *j = g_ptr_array_index(sc->jobs, i);
 
 		for (uint32_t s = 0; s < j->n_stages; s++) {
-			if (mh_cell_todo(j, s) > 0 &&
+			if (mh_sched_remaining(j, s) > 0 &&
 			    j->state->stages[s].pool == pool &&
-			    mh_cell_slack_key(j, s) <= key)
-				n += mh_cell_todo(j, s);
+			    mh_sched_slack_key(j, s) <= key)
+				n += mh_sched_remaining(j, s);
 		}
 	}
 	return n;
@@ -61,7 +61,7 @@
  * endpoint.
  */
 static int64_t
-predict_us(struct mh_cell *sc, struct mh_job *j)
+predict_us(struct mh_sched *sc, struct mh_job *j)
 {
 	int64_t now = mh_now(sc->k), done[MH_GSTAGES], last = now;
 
@@ -74,32 +74,32 @@
 				start = MAX(start, done[a]);
 		}
 		done[s] = start;
-		if (mh_cell_todo(j, s) == 0)
+		if (mh_sched_remaining(j, s) == 0)
 			continue;
-		rate = mh_cell_pool_rate(sc, j->state->stages[s].pool);
+		rate = mh_sched_pool_rate(sc, j->state->stages[s].pool);
 		if (rate <= 0)
 			return INT64_MAX;
 		/* New jobs that meet their objective run before this one. */
-		if (j->state->late)
+		if (j->state->misses_slo)
 			rate = MAX(rate -
-				mh_cell_fresh_rate(
+				mh_sched_arrival_rate(
 				    sc, j->state->stages[s].pool),
 			    rate * MISS_RATE_MIN);
 		wait = (int64_t)(pieces_before(sc, j->state->stages[s].pool,
-				     mh_cell_slack_key(j, s)) /
+				     mh_sched_slack_key(j, s)) /
 		    rate * (double)MH_US_PER_S);
 		wait = MAX(wait - (start - now), 0);
-		done[s] = start + wait + mh_cell_stage_us(j, s);
+		done[s] = start + wait + mh_sched_stage_us(j, s);
 		last = MAX(last, done[s]);
 	}
 	return last;
 }
 
 int64_t
-mh_cell_backlog_us(struct mh_cell *sc, const char *name)
+mh_sched_backlog_us(struct mh_sched *sc, const char *name)
 {
-	struct cpool *pool = mh_cell_pool_of(sc, name);
-	double rate = mh_cell_pool_rate(sc, pool);
+	struct sched_pool *pool = mh_sched_pool_of(sc, name);
+	double rate = mh_sched_pool_rate(sc, pool);
 
 	if (rate <= 0)
 		return MH_US_PER_S;
@@ -108,13 +108,14 @@
 }
 
 int64_t
-mh_cell_room_in_us(struct mh_cell *sc, const struct mh_job *j)
+mh_sched_max_backlog_us(struct mh_sched *sc, const struct mh_job *j)
 {
 	int64_t us = 0;
 
 	for (uint32_t s = 0; s < j->n_stages; s++) {
 		if (j->stages[s].pieces > 0)
-			us = MAX(us, mh_cell_backlog_us(sc, j->stages[s].pool));
+			us =
+			    MAX(us, mh_sched_backlog_us(sc, j->stages[s].pool));
 	}
 	return us;
 }
@@ -128,9 +129,9 @@
 	for (uint32_t s = 0; s < j->n_stages; s++) {
 		const struct mh_gwork *w = j->state->stages[s].pool->work;
 
-		us += mh_cell_todo(j, s) *
+		us += mh_sched_remaining(j, s) *
 		    ((double)w->call_us / w->batch +
-			(double)mh_cell_item_us(j, s));
+			(double)mh_sched_item_us(j, s));
 	}
 	return us;
 }
@@ -142,10 +143,10 @@
  * or a larger answer), so these are accepted where others are refused.
  */
 static int64_t
-margin_us(struct mh_cell *sc, const struct mh_job *j)
+margin_us(struct mh_sched *sc, const struct mh_job *j)
 {
 	double work = job_work_us(j);
-	double *mean = mh_cell_mean_work(sc, j->route, work);
+	double *mean = mh_sched_mean_work(sc, j->route, work);
 	double ratio = *mean <= 0 ? 1 : work / *mean;
 
 	*mean += MEAN_WORK_WEIGHT * (work - *mean);
@@ -157,26 +158,26 @@
 }
 
 bool
-mh_cell_admit(struct mh_cell *sc, struct mh_job *j)
+mh_sched_admit(struct mh_sched *sc, struct mh_job *j)
 {
 	int64_t now = mh_now(sc->k), est_us, rem_us = j->deadline_us - now;
 	bool ok;
 
 	est_us = predict_us(sc, j);
 	/* The deadline may come before the latency objective. */
-	if (est_us <= MIN(j->aim_us - margin_us(sc, j), j->deadline_us))
+	if (est_us <= MIN(j->slo_us - margin_us(sc, j), j->deadline_us))
 		ok = true;
-	else if (j->moved) {
+	else if (j->handed_off) {
 		/*
 		 * Another coordinator, or this process before it drained, has
 		 * accepted and started it.  Judged as a new job, it would be
 		 * refused because of the other jobs that were handed off with
 		 * it, and its results would be lost.
 		 */
-		j->state->late = est_us > j->aim_us;
+		j->state->misses_slo = est_us > j->slo_us;
 		ok = est_us <= j->deadline_us;
 	} else {
-		j->state->late = true;
+		j->state->misses_slo = true;
 		est_us = predict_us(sc, j);
 		ok = est_us != INT64_MAX &&
 		    est_us - now <= (int64_t)((double)rem_us * MISS_TIME_SHARE);
@@ -185,8 +186,8 @@
 	    "id=%s route=%s outcome=%s late=%d returned=%d "
 	    "predict_ms=%" PRId64 " aim_ms=%" PRId64 " left_ms=%" PRId64
 	    " jobs=%u",
-	    j->id, j->route, ok ? "taken" : "refused", j->state->late,
-	    j->returned, est_us == INT64_MAX ? -1 : mh_ms(est_us - now),
-	    mh_ms(j->aim_us - now), mh_ms(rem_us), sc->jobs->len);
+	    j->id, j->route, ok ? "taken" : "refused", j->state->misses_slo,
+	    j->refused_before, est_us == INT64_MAX ? -1 : mh_ms(est_us - now),
+	    mh_ms(j->slo_us - now), mh_ms(rem_us), sc->jobs->len);
 	return ok;
 }
--- a/lib/celltold.c
+++ b/lib/schedreport.c
@@ -6,7 +6,7 @@
  * of the two it is.
  */
 
-#include "cell.h"
+#include "schedint.h"
 
 #include <string.h>
 
@@ -24,18 +24,18 @@
 #define POLL_INTERVAL_US (150 * MH_US_PER_MS)
 
 void
-mh_cell_ask(struct mh_cell *sc, struct worker *w, const char *node)
+mh_sched_poll(struct mh_sched *sc, struct worker *w, const char *node)
 {
 	const struct mh_node *n = mh_fleet_find(sc->f, node);
 	int64_t now = mh_now(sc->k);
 
-	if (w->asked || now - w->asked_us < POLL_INTERVAL_US ||
-	    sc->ops.ask == NULL || n == NULL || n->evacuated)
+	if (w->polling || now - w->last_poll_us < POLL_INTERVAL_US ||
+	    sc->ops.poll == NULL || n == NULL || n->evacuated)
 		return;
-	w->asked = true;
-	w->asked_us = now;
+	w->polling = true;
+	w->last_poll_us = now;
 	mh_count(sc->k, "stage_reports", 1);
-	sc->ops.ask(sc->ops.arg, sc, node);
+	sc->ops.poll(sc->ops.arg, sc, node);
 }
 
 /*
@@ -43,7 +43,7 @@
  * Returns their number.
  */
 static uint32_t
-end_calls(struct mh_cell *sc, const char *node, int64_t age_us)
+end_calls(struct mh_sched *sc, const char *node, int64_t age_us)
 {
 	GList *all = g_hash_table_get_values(sc->batches);
 	int64_t now = mh_now(sc->k);
@@ -55,7 +55,7 @@
 		if (now - b->sent_us < age_us || strcmp(b->node, node) != 0)
 			continue;
 		sc->ops.abort(sc->ops.arg, b);
-		mh_cell_batch_end(sc, b, MH_BATCH_LOST);
+		mh_sched_batch_end(sc, b, MH_BATCH_LOST);
 		n++;
 	}
 	g_list_free(all);
@@ -63,14 +63,15 @@
 }
 
 void
-mh_cell_told(
-    struct mh_cell *sc, const char *node, const struct mh_work_report *r)
+mh_sched_report(
+    struct mh_sched *sc, const char *node, const struct mh_work_report *r)
 {
 	struct mh_node *n = mh_fleet_find(sc->f, node);
 
 	if (n == NULL)
 		return; /* it was removed */
-	mh_cell_worker_of(mh_cell_pool_of(sc, n->pool), node)->asked = false;
+	mh_sched_worker_of(mh_sched_pool_of(sc, n->pool), node)->polling =
+	    false;
 	mh_event(sc->k, "stage-report", "node=%s told=%d running=%u waiting=%u",
 	    node, r != NULL, r == NULL ? 0 : r->running,
 	    r == NULL ? 0 : r->waiting);
@@ -86,12 +87,13 @@
  * call, and going back through the stages the duration of a stage each.
  */
 void
-mh_cell_restarted(struct mh_cell *sc, const char *node)
+mh_sched_node_restarted(struct mh_sched *sc, const char *node)
 {
 	const char *name = g_intern_string(node);
 
 	end_calls(sc, node, 0);
 	for (guint i = 0; i < sc->jobs->len; i++)
-		mh_cell_remake_from(sc, g_ptr_array_index(sc->jobs, i), name);
-	mh_cell_dispatch_all(sc);
+		mh_sched_recompute_from(
+		    sc, g_ptr_array_index(sc->jobs, i), name);
+	mh_sched_dispatch_all(sc);
 }
--- a/lib/cellmade.c
+++ b/lib/schedresult.c
@@ -2,32 +2,32 @@
  * DOC: Results of pieces: kept while needed, recomputed if lost.
  */
 
-#include "cell.h"
+#include "schedint.h"
 
 #include <string.h>
 
 static void recompute_freed(
-    struct mh_cell *sc, struct mh_job *j, uint32_t stage);
+    struct mh_sched *sc, struct mh_job *j, uint32_t stage);
 
 /* freeing results */
 
 void
-mh_cell_give_room(struct worker *w, uint64_t bytes)
+mh_sched_memory_freed(struct worker *w, uint64_t bytes)
 {
-	w->held -= MIN(w->held, bytes);
+	w->result_bytes -= MIN(w->result_bytes, bytes);
 }
 
 static void
-drop_result(struct mh_cell *sc, struct mh_job *j, uint32_t stage, uint32_t i)
+drop_result(struct mh_sched *sc, struct mh_job *j, uint32_t stage, uint32_t i)
 {
-	struct mh_jstage *st = &j->stages[stage];
-	struct piece_state *m = &j->state->stages[stage].made[i];
+	struct mh_job_stage *st = &j->stages[stage];
+	struct piece_state *m = &j->state->stages[stage].pieces[i];
 	char **slot = (char **)&g_ptr_array_index(st->results, i);
 
 	if (*slot == NULL)
 		return;
 	if (m->worker != NULL)
-		mh_cell_give_room(m->worker, st->result_bytes);
+		mh_sched_memory_freed(m->worker, st->result_bytes);
 	m->worker = NULL;
 	sc->ops.discard(sc->ops.arg, *slot);
 	g_free(*slot);
@@ -35,7 +35,7 @@
 }
 
 void
-mh_cell_drop_results(struct mh_cell *sc, struct mh_job *j, uint32_t stage)
+mh_sched_drop_results(struct mh_sched *sc, struct mh_job *j, uint32_t stage)
 {
 	for (uint32_t i = 0; i < j->stages[stage].pieces; i++)
 		drop_result(sc, j, stage, i);
@@ -46,9 +46,9 @@
  * endpoint, a slash and a number.
  */
 static const struct mh_node *
-endpoint_of(struct mh_cell *sc, struct cpool *p, const char *result)
+endpoint_of(struct mh_sched *sc, struct sched_pool *p, const char *result)
 {
-	GPtrArray *nodes = mh_cell_nodes(sc, p);
+	GPtrArray *nodes = mh_sched_nodes(sc, p);
 	size_t len = strcspn(result, "/");
 
 	for (guint i = 0; i < nodes->len; i++) {
@@ -66,10 +66,10 @@
  * they must refuse for lack of memory.
  */
 void
-mh_cell_know_makers(struct mh_cell *sc, struct mh_job *j, uint32_t stage)
+mh_sched_locate_results(struct mh_sched *sc, struct mh_job *j, uint32_t stage)
 {
-	const struct mh_jstage *st = &j->stages[stage];
-	struct sstate *ss = &j->state->stages[stage];
+	const struct mh_job_stage *st = &j->stages[stage];
+	struct stage_state *ss = &j->state->stages[stage];
 
 	for (uint32_t i = 0; i < st->pieces; i++) {
 		const char *result = g_ptr_array_index(st->results, i);
@@ -78,9 +78,9 @@
 
 		if (n == NULL)
 			continue;
-		ss->made[i].node = g_intern_string(n->id);
-		ss->made[i].worker = mh_cell_worker_of(ss->pool, n->id);
-		ss->made[i].worker->held += st->result_bytes;
+		ss->pieces[i].node = g_intern_string(n->id);
+		ss->pieces[i].worker = mh_sched_worker_of(ss->pool, n->id);
+		ss->pieces[i].worker->result_bytes += st->result_bytes;
 	}
 }
 
@@ -88,25 +88,25 @@
 static void
 stop_counting(struct mh_job *j, uint32_t stage)
 {
-	const struct mh_jstage *st = &j->stages[stage];
+	const struct mh_job_stage *st = &j->stages[stage];
 
 	for (uint32_t i = 0; i < st->pieces; i++) {
-		struct piece_state *m = &j->state->stages[stage].made[i];
+		struct piece_state *m = &j->state->stages[stage].pieces[i];
 
 		if (m->worker != NULL)
-			mh_cell_give_room(m->worker, st->result_bytes);
+			mh_sched_memory_freed(m->worker, st->result_bytes);
 		m->worker = NULL;
 	}
 }
 
 void
-mh_cell_hand_on(struct mh_cell *sc, struct mh_job *j)
+mh_sched_hand_off(struct mh_sched *sc, struct mh_job *j)
 {
 	for (uint32_t s = 0; s < j->n_stages; s++) {
-		if (mh_job_wants(j, s))
+		if (mh_job_needs_stage(j, s))
 			stop_counting(j, s);
 		else
-			mh_cell_drop_results(sc, j, s);
+			mh_sched_drop_results(sc, j, s);
 	}
 }
 
@@ -114,10 +114,10 @@
 static bool
 has_read_inputs(const struct mh_job *j, uint32_t stage)
 {
-	const struct sstate *ss = &j->state->stages[stage];
+	const struct stage_state *ss = &j->state->stages[stage];
 
 	for (uint32_t i = 0; i < j->stages[stage].pieces; i++) {
-		if (ss->made[i].need && !ss->made[i].fed)
+		if (ss->pieces[i].needed && !ss->pieces[i].inputs_read)
 			return false;
 	}
 	return true;
@@ -125,7 +125,7 @@
 
 /* Frees those inputs of a stage that all their readers have read. */
 void
-mh_cell_drop_inputs(struct mh_cell *sc, struct mh_job *j, uint32_t stage)
+mh_sched_drop_inputs(struct mh_sched *sc, struct mh_job *j, uint32_t stage)
 {
 	for (uint32_t s = 0; s < stage; s++) {
 		bool wanted = false;
@@ -137,35 +137,35 @@
 			    ((j->stages[t].after >> s & 1) != 0 &&
 				!has_read_inputs(j, t));
 		if (!wanted)
-			mh_cell_drop_results(sc, j, s);
+			mh_sched_drop_results(sc, j, s);
 	}
 }
 
 /* Recomputes a result, and those of its inputs that were freed. */
 static void
-recompute(struct mh_cell *sc, struct mh_job *j, uint32_t stage, uint32_t piece)
+recompute(struct mh_sched *sc, struct mh_job *j, uint32_t stage, uint32_t piece)
 {
-	struct sstate *ss = &j->state->stages[stage];
+	struct stage_state *ss = &j->state->stages[stage];
 
 	drop_result(sc, j, stage, piece);
-	if (ss->left == 0)
-		j->state->unmade |= 1U << stage;
-	ss->made[piece].need = true;
-	ss->made[piece].fed = false;
-	ss->left++;
-	j->state->stale = true;
+	if (ss->remaining == 0)
+		j->state->lost_stages |= 1U << stage;
+	ss->pieces[piece].needed = true;
+	ss->pieces[piece].inputs_read = false;
+	ss->remaining++;
+	j->state->paths_stale = true;
 	mh_count(sc->k, "pieces_remade", 1);
 	recompute_freed(sc, j, stage);
 }
 
 static void
-recompute_freed(struct mh_cell *sc, struct mh_job *j, uint32_t stage)
+recompute_freed(struct mh_sched *sc, struct mh_job *j, uint32_t stage)
 {
 	for (uint32_t s = 0; s < stage; s++) {
 		if ((j->stages[stage].after >> s & 1) == 0)
 			continue;
 		for (uint32_t i = 0; i < j->stages[s].pieces; i++) {
-			if (!j->state->stages[s].made[i].need &&
+			if (!j->state->stages[s].pieces[i].needed &&
 			    g_ptr_array_index(j->stages[s].results, i) == NULL)
 				recompute(sc, j, s, i);
 		}
@@ -180,26 +180,27 @@
  * at a time.  The last stage is reported first, as in all such reports.
  */
 static void
-report_lost_stages(struct mh_cell *sc, struct mh_job *j)
+report_lost_stages(struct mh_sched *sc, struct mh_job *j)
 {
-	uint32_t unmade = j->state->unmade;
+	uint32_t unmade = j->state->lost_stages;
 
-	j->state->unmade = 0;
-	for (uint32_t s = j->n_stages; s > 0 && sc->ops.step != NULL; s--) {
+	j->state->lost_stages = 0;
+	for (uint32_t s = j->n_stages; s > 0 && sc->ops.stage_changed != NULL;
+	     s--) {
 		if ((unmade >> (s - 1) & 1) != 0)
-			sc->ops.step(sc->ops.arg, j, s - 1);
+			sc->ops.stage_changed(sc->ops.arg, j, s - 1);
 	}
 }
 
 void
-mh_cell_need_inputs(struct mh_cell *sc, struct mh_job *j, uint32_t stage)
+mh_sched_recompute_freed(struct mh_sched *sc, struct mh_job *j, uint32_t stage)
 {
 	recompute_freed(sc, j, stage);
 	report_lost_stages(sc, j);
 }
 
 static bool
-is_suspect(struct mh_cell *sc, const struct piece_state *m)
+is_suspect(struct mh_sched *sc, const struct piece_state *m)
 {
 	struct mh_node *n =
 	    m->node == NULL ? NULL : mh_fleet_find(sc->f, m->node);
@@ -208,14 +209,14 @@
 }
 
 bool
-mh_cell_doubts_inputs(
-    struct mh_cell *sc, const struct mh_job *j, uint32_t stage)
+mh_sched_inputs_suspect(
+    struct mh_sched *sc, const struct mh_job *j, uint32_t stage)
 {
 	for (uint32_t s = 0; s < stage; s++) {
 		if ((j->stages[stage].after >> s & 1) == 0)
 			continue;
 		for (uint32_t i = 0; i < j->stages[s].pieces; i++) {
-			if (is_suspect(sc, &j->state->stages[s].made[i]))
+			if (is_suspect(sc, &j->state->stages[s].pieces[i]))
 				return true;
 		}
 	}
@@ -227,19 +228,20 @@
  * suspect endpoints, or all of them if no endpoint is suspect.
  */
 void
-mh_cell_remake_inputs(struct mh_cell *sc, struct mh_job *j, uint32_t stage)
+mh_sched_recompute_lost(struct mh_sched *sc, struct mh_job *j, uint32_t stage)
 {
 	bool any = false;
 
 	for (int all = 0; all < 2 && !any; all++) {
 		for (uint32_t s = 0; s < stage; s++) {
-			struct sstate *ss = &j->state->stages[s];
+			struct stage_state *ss = &j->state->stages[s];
 
 			if ((j->stages[stage].after >> s & 1) == 0)
 				continue;
 			for (uint32_t i = 0; i < j->stages[s].pieces; i++) {
-				if (ss->made[i].need ||
-				    (all == 0 && !is_suspect(sc, &ss->made[i])))
+				if (ss->pieces[i].needed ||
+				    (all == 0 &&
+					!is_suspect(sc, &ss->pieces[i])))
 					continue;
 				recompute(sc, j, s, i);
 				any = true;
@@ -250,13 +252,14 @@
 }
 
 void
-mh_cell_remake_from(struct mh_cell *sc, struct mh_job *j, const char *node)
+mh_sched_recompute_from(struct mh_sched *sc, struct mh_job *j, const char *node)
 {
 	for (uint32_t s = 0; s < j->n_stages; s++) {
-		const struct sstate *ss = &j->state->stages[s];
+		const struct stage_state *ss = &j->state->stages[s];
 
 		for (uint32_t i = 0; i < j->stages[s].pieces; i++) {
-			if (ss->made[i].node == node && !ss->made[i].need &&
+			if (ss->pieces[i].node == node &&
+			    !ss->pieces[i].needed &&
 			    g_ptr_array_index(j->stages[s].results, i) != NULL)
 				recompute(sc, j, s, i);
 		}
--- a/lib/cellrun.c
+++ b/lib/schedrun.c
@@ -2,7 +2,7 @@
  * DOC: Dispatch: chooses an endpoint and the pieces of its next call.
  */
 
-#include "cell.h"
+#include "schedint.h"
 
 #include <string.h>
 
@@ -61,7 +61,7 @@
 /* data locality */
 
 static const char *
-domain_of(struct mh_cell *sc, const char *node)
+domain_of(struct mh_sched *sc, const char *node)
 {
 	const struct mh_node *n =
 	    node == NULL ? NULL : mh_fleet_find(sc->f, node);
@@ -99,9 +99,9 @@
  * NULL if the difference is too small to wait for.
  */
 static const char *
-best_domain(struct mh_cell *sc, const struct mh_job *j, uint32_t stage)
+best_domain(struct mh_sched *sc, const struct mh_job *j, uint32_t stage)
 {
-	const struct mh_jstage *st = &j->stages[stage];
+	const struct mh_job_stage *st = &j->stages[stage];
 	struct domain_bytes all[MAX_DOMAINS];
 	uint32_t n = 0, best = 0;
 
@@ -110,10 +110,10 @@
 			continue;
 		for (uint32_t i = 0; i < j->stages[s].pieces; i++)
 			add_bytes(all, &n,
-			    domain_of(sc, j->state->stages[s].made[i].node),
+			    domain_of(sc, j->state->stages[s].pieces[i].node),
 			    j->stages[s].result_bytes * st->pieces);
 	}
-	if (mh_cell_followers(j, stage) == 0)
+	if (mh_sched_readers(j, stage) == 0)
 		add_bytes(all, &n, j->domain, st->result_bytes * st->pieces);
 	for (uint32_t i = 1; i < n; i++) {
 		if (all[i].bytes > all[best].bytes)
@@ -126,9 +126,9 @@
 /* calls */
 
 void
-mh_cell_free_batch(struct mh_cell *sc, struct mh_batch *b)
+mh_sched_free_batch(struct mh_sched *sc, struct mh_batch *b)
 {
-	mh_timer_stop(sc->k, &b->fed);
+	mh_timer_stop(sc->k, &b->read_timer);
 	for (guint i = 0; i < b->items->len; i++)
 		g_free(g_array_index(b->items, struct mh_batch_item, i).result);
 	g_array_free(b->items, TRUE);
@@ -156,9 +156,9 @@
 
 /* Whether a pool has a usable endpoint in a failure domain. */
 static bool
-has_domain(struct mh_cell *sc, struct cpool *p, const char *domain)
+has_domain(struct mh_sched *sc, struct sched_pool *p, const char *domain)
 {
-	GPtrArray *nodes = mh_cell_nodes(sc, p);
+	GPtrArray *nodes = mh_sched_nodes(sc, p);
 
 	for (guint i = 0; i < nodes->len; i++) {
 		const struct mh_node *n = g_ptr_array_index(nodes, i);
@@ -175,18 +175,18 @@
  * is queued for longer than that and then runs in any domain.
  */
 static void
-set_domain(struct mh_cell *sc, struct cpool *p, struct ready_stage *u)
+set_domain(struct mh_sched *sc, struct sched_pool *p, struct ready_stage *u)
 {
-	struct sstate *ss = &u->job->state->stages[u->stage];
+	struct stage_state *ss = &u->job->state->stages[u->stage];
 	int64_t now = mh_now(sc->k);
 
 	if (ss->ready_us == 0)
 		ss->ready_us = now;
 	u->domain = best_domain(sc, u->job, u->stage);
-	if (u->domain == NULL || u->job->state->late)
+	if (u->domain == NULL || u->job->state->misses_slo)
 		return;
 	u->waits = now - ss->ready_us < DOMAIN_WAIT_US &&
-	    u->job->aim_us - now - mh_cell_path_us(u->job, u->stage) >
+	    u->job->slo_us - now - mh_sched_path_us(u->job, u->stage) >
 		DOMAIN_WAIT_SLACK_US &&
 	    has_domain(sc, p, u->domain);
 }
@@ -204,23 +204,23 @@
 }
 
 static GArray *
-ready_stages(struct mh_cell *sc, struct cpool *p)
+ready_stages(struct mh_sched *sc, struct sched_pool *p)
 {
 	GArray *all = g_array_new(FALSE, FALSE, sizeof(struct ready_stage));
 
 	for (guint i = 0; i < sc->jobs->len; i++) {
 		struct mh_job *j = g_ptr_array_index(sc->jobs, i);
 
-		for (uint32_t s = 0; s < j->n_stages && !j->state->leaving;
+		for (uint32_t s = 0; s < j->n_stages && !j->state->draining;
 		     s++) {
-			const struct sstate *ss = &j->state->stages[s];
+			const struct stage_state *ss = &j->state->stages[s];
 			struct ready_stage u = { j, s, 0, NULL, false };
 
-			if (ss->left <= ss->flying || ss->pool != p ||
-			    !mh_cell_is_ready(j, s) ||
-			    mh_poison_waits(sc->k, j->print, p->name))
+			if (ss->remaining <= ss->in_flight || ss->pool != p ||
+			    !mh_sched_is_ready(j, s) ||
+			    mh_poison_waits(sc->k, j->fingerprint, p->name))
 				continue;
-			u.key = mh_cell_slack_key(j, s);
+			u.key = mh_sched_slack_key(j, s);
 			set_domain(sc, p, &u);
 			g_array_append_val(all, u);
 		}
@@ -254,43 +254,43 @@
  */
 static bool
 may_share_call(
-    const struct mh_cell *sc, const struct mh_batch *b, const struct mh_job *j)
+    const struct mh_sched *sc, const struct mh_batch *b, const struct mh_job *j)
 {
 	const struct mh_job *first = b->items->len == 0
 	    ? NULL
 	    : g_array_index(b->items, struct mh_batch_item, 0).job;
 
 	return first == NULL || first == j ||
-	    (mh_poison_apart(sc->k, j->print, b->pool) == 0 &&
-		mh_poison_apart(sc->k, first->print, b->pool) == 0);
+	    (mh_poison_apart(sc->k, j->fingerprint, b->pool) == 0 &&
+		mh_poison_apart(sc->k, first->fingerprint, b->pool) == 0);
 }
 
 static void
 take_pieces(struct mh_batch *b, struct worker *w, const struct ready_stage *u,
     const struct mh_gwork *gw, uint32_t max)
 {
-	struct mh_jstage *st = &u->job->stages[u->stage];
-	struct sstate *ss = &u->job->state->stages[u->stage];
+	struct mh_job_stage *st = &u->job->stages[u->stage];
+	struct stage_state *ss = &u->job->state->stages[u->stage];
 
 	for (uint32_t i = 0; i < st->pieces && b->items->len < max; i++) {
 		struct mh_batch_item m = { .job = u->job,
 			.stage = u->stage,
 			.piece = i,
-			.bytes = st->result_bytes };
+			.result_bytes = st->result_bytes };
 
-		if (ss->made[i].flying || !ss->made[i].need)
+		if (ss->pieces[i].in_flight || !ss->pieces[i].needed)
 			continue;
-		if (gw->room_bytes > 0 && w->held > 0 &&
-		    (double)(w->held + st->result_bytes) >
+		if (gw->room_bytes > 0 && w->result_bytes > 0 &&
+		    (double)(w->result_bytes + st->result_bytes) >
 			MEMORY_SHARE_MAX * (double)gw->room_bytes)
 			return;
 		u->job->state->started = true;
-		ss->made[i].flying = true;
-		ss->made[i].fed = false;
-		ss->made[i].tries++;
-		ss->flying++;
-		w->held += st->result_bytes;
-		b->expect_us += mh_cell_item_us(u->job, u->stage);
+		ss->pieces[i].in_flight = true;
+		ss->pieces[i].inputs_read = false;
+		ss->pieces[i].tries++;
+		ss->in_flight++;
+		w->result_bytes += st->result_bytes;
+		b->expect_us += mh_sched_item_us(u->job, u->stage);
 		g_array_append_val(b->items, m);
 	}
 }
@@ -304,10 +304,10 @@
 	for (guint i = 0; i < ready->len; i++) {
 		const struct ready_stage *u =
 		    &g_array_index(ready, struct ready_stage, i);
-		const struct sstate *ss = &u->job->state->stages[u->stage];
+		const struct stage_state *ss = &u->job->state->stages[u->stage];
 
 		/* A retried piece can be in a call after it is done. */
-		n += ss->left - MIN(ss->flying, ss->left);
+		n += ss->remaining - MIN(ss->in_flight, ss->remaining);
 	}
 	return n;
 }
@@ -316,53 +316,55 @@
 on_inputs_read(void *arg)
 {
 	struct mh_batch *b = arg;
-	struct mh_cell *sc = b->cell;
+	struct mh_sched *sc = b->sched;
 
-	b->fed = NULL;
-	b->freed = true;
+	b->read_timer = NULL;
+	b->inputs_freed = true;
 	for (guint i = 0; i < b->items->len; i++) {
 		const struct mh_batch_item *m =
 		    &g_array_index(b->items, struct mh_batch_item, i);
 
 		if (m->job == NULL)
 			continue;
-		m->job->state->stages[m->stage].made[m->piece].fed = true;
-		mh_cell_drop_inputs(sc, m->job, m->stage);
+		m->job->state->stages[m->stage].pieces[m->piece].inputs_read =
+		    true;
+		mh_sched_drop_inputs(sc, m->job, m->stage);
 	}
-	mh_cell_dispatch_all(sc);
+	mh_sched_dispatch_all(sc);
 }
 
 /* Endpoints with a larger slowdown than this get only probe calls. */
 static double
-slow_limit(struct mh_cell *sc, struct cpool *p)
+slow_limit(struct mh_sched *sc, struct sched_pool *p)
 {
-	GPtrArray *nodes = mh_cell_nodes(sc, p);
+	GPtrArray *nodes = mh_sched_nodes(sc, p);
 	double fastest = 1e9;
 
 	for (guint i = 0; i < nodes->len; i++) {
 		struct mh_node *n = g_ptr_array_index(nodes, i);
 
 		if (mh_node_usable(sc->f, n))
-			fastest =
-			    MIN(fastest, mh_cell_worker_of(p, n->id)->slow);
+			fastest = MIN(
+			    fastest, mh_sched_worker_of(p, n->id)->slowdown);
 	}
 	return SLOWDOWN_MAX * fastest;
 }
 
 static uint32_t
-max_pieces(struct mh_cell *sc, struct cpool *p, const struct worker *w)
+max_pieces(struct mh_sched *sc, struct sched_pool *p, const struct worker *w)
 {
 	uint32_t batch = p->work->batch;
 
-	return w->slow > slow_limit(sc, p) ? MIN(PROBE_PIECES, batch) : batch;
+	return w->slowdown > slow_limit(sc, p) ? MIN(PROBE_PIECES, batch)
+					       : batch;
 }
 
 /* Takes pieces with data near the endpoint that are nearly most urgent. */
 static void
-take_near(struct mh_cell *sc, struct mh_batch *b, struct worker *w,
+take_near(struct mh_sched *sc, struct mh_batch *b, struct worker *w,
     const struct mh_node *n, const GArray *ready, uint32_t max)
 {
-	const struct mh_gwork *gw = mh_cell_work_of(sc, b->pool);
+	const struct mh_gwork *gw = mh_sched_work_conf(sc, b->pool);
 	int64_t last = ready->len == 0
 	    ? 0
 	    : g_array_index(ready, struct ready_stage, 0).key + NEAR_LEAD_US;
@@ -381,10 +383,10 @@
 
 /* Takes the most urgent pieces, wherever their data is. */
 static void
-take_urgent(struct mh_cell *sc, struct mh_batch *b, struct worker *w,
+take_urgent(struct mh_sched *sc, struct mh_batch *b, struct worker *w,
     const struct mh_node *n, const GArray *ready, uint32_t max)
 {
-	const struct mh_gwork *gw = mh_cell_work_of(sc, b->pool);
+	const struct mh_gwork *gw = mh_sched_work_conf(sc, b->pool);
 
 	for (guint i = 0; i < ready->len && b->items->len < max; i++) {
 		const struct ready_stage *u =
@@ -395,7 +397,7 @@
 		if (has_inputs(u->job, u->stage))
 			take_pieces(b, w, u, gw, max);
 		else
-			mh_cell_need_inputs(sc, u->job, u->stage);
+			mh_sched_recompute_freed(sc, u->job, u->stage);
 	}
 }
 
@@ -408,29 +410,29 @@
  * so jobs handed off to us show that the endpoints may be busy.
  */
 static bool
-starts_at_once(struct mh_cell *sc, struct cpool *p, const struct worker *w,
-    const struct mh_batch *b)
+starts_at_once(struct mh_sched *sc, struct sched_pool *p,
+    const struct worker *w, const struct mh_batch *b)
 {
 	int64_t now = mh_now(sc->k);
 	int64_t full_us =
 	    p->work->call_us + p->work->item_us * (int64_t)p->work->batch;
 
-	if (w->shared_us > now ||
-	    (sc->moved_us != 0 && now - sc->moved_us < full_us))
+	if (w->shared_end_us > now ||
+	    (sc->last_handoff_us != 0 && now - sc->last_handoff_us < full_us))
 		return false;
-	if (p->shared_us == 0)
+	if (p->shared_end_us == 0)
 		return true;
-	if (p->shared_us > now || p->trying != 0)
+	if (p->shared_end_us > now || p->trial_batch != 0)
 		return false;
-	p->trying = b->id;
+	p->trial_batch = b->id;
 	return true;
 }
 
 static void
-run_batch(
-    struct mh_cell *sc, struct cpool *p, const struct mh_node *n, GArray *ready)
+run_batch(struct mh_sched *sc, struct sched_pool *p, const struct mh_node *n,
+    GArray *ready)
 {
-	struct worker *w = mh_cell_worker_of(p, n->id);
+	struct worker *w = mh_sched_worker_of(p, n->id);
 	const struct mh_gwork *gw = p->work;
 	uint32_t max = max_pieces(sc, p, w);
 	struct mh_batch *b = g_new0(struct mh_batch, 1);
@@ -442,15 +444,15 @@
 	b->sent_us = mh_now(sc->k);
 	b->expect_us = gw->call_us;
 	g_hash_table_insert(sc->batches, &b->id, b);
-	w->called_us = mh_now(sc->k);
+	w->last_call_us = mh_now(sc->k);
 	take_near(sc, b, w, n, ready, max);
 	take_urgent(sc, b, w, n, ready, max);
 	if (b->items->len == 0) {
-		w->pause_us = mh_now(sc->k) + MEMORY_PAUSE_US;
-		mh_cell_free_batch(sc, b);
+		w->pause_end_us = mh_now(sc->k) + MEMORY_PAUSE_US;
+		mh_sched_free_batch(sc, b);
 		return;
 	}
-	w->flying++;
+	w->in_flight++;
 	mh_count(sc->k, "batches", 1);
 	mh_count(sc->k, "batch_pieces", b->items->len);
 	mh_event(sc->k, "batch",
@@ -458,22 +460,22 @@
 	    "of=%u ready=%u held_kb=%" PRIu64 " room_kb=%" PRIu64
 	    " expect_ms=%" PRId64 " slow=%.2f first=%s",
 	    b->id, p->name, n->id, b->items->len, gw->batch,
-	    ready_pieces(ready), w->held >> 10, gw->room_bytes >> 10,
-	    mh_ms(b->expect_us), w->slow,
+	    ready_pieces(ready), w->result_bytes >> 10, gw->room_bytes >> 10,
+	    mh_ms(b->expect_us), w->slowdown,
 	    g_array_index(b->items, struct mh_batch_item, 0).job->id);
-	b->cell = sc;
+	b->sched = sc;
 	if (starts_at_once(sc, p, w, b))
-		b->fed =
+		b->read_timer =
 		    mh_timer_start(sc->k, READ_INPUTS_US, on_inputs_read, b);
 	sc->ops.run(sc->ops.arg, b);
 }
 
 static bool
-may_call(struct mh_cell *sc, const struct cpool *p, const struct mh_node *n,
-    const struct worker *w)
+may_call(struct mh_sched *sc, const struct sched_pool *p,
+    const struct mh_node *n, const struct worker *w)
 {
-	return mh_node_usable(sc->f, n) && w->flying < p->work->running &&
-	    w->pause_us <= mh_now(sc->k);
+	return mh_node_usable(sc->f, n) && w->in_flight < p->work->running &&
+	    w->pause_end_us <= mh_now(sc->k);
 }
 
 /* Number of ready stages with data near an endpoint. */
@@ -495,22 +497,22 @@
 
 /* The free endpoint with the best score of speed and near data. */
 static struct mh_node *
-free_node(struct mh_cell *sc, struct cpool *p, const GArray *ready)
+free_node(struct mh_sched *sc, struct sched_pool *p, const GArray *ready)
 {
-	GPtrArray *nodes = mh_cell_nodes(sc, p);
+	GPtrArray *nodes = mh_sched_nodes(sc, p);
 	struct mh_node *best = NULL;
 	double least = 0, limit = slow_limit(sc, p);
 
 	for (guint i = 0; i < nodes->len; i++) {
 		struct mh_node *n = g_ptr_array_index(nodes, i);
-		struct worker *w = mh_cell_worker_of(p, n->id);
-		bool slow = w->slow > limit, suited;
+		struct worker *w = mh_sched_worker_of(p, n->id);
+		bool slow = w->slowdown > limit, suited;
 		double score;
 
 		if (!may_call(sc, p, n, w) ||
-		    (slow && mh_now(sc->k) - w->called_us < PROBE_US))
+		    (slow && mh_now(sc->k) - w->last_call_us < PROBE_US))
 			continue;
-		score = w->slow -
+		score = w->slowdown -
 		    NEAR_STAGE_SCORE *
 			MIN(count_near(ready, n, &suited), p->work->batch);
 		if (!suited)
@@ -527,21 +529,21 @@
 
 /* Under load all are busy: this is cheaper than listing ready stages. */
 static bool
-any_free(struct mh_cell *sc, struct cpool *p)
+any_free(struct mh_sched *sc, struct sched_pool *p)
 {
-	GPtrArray *nodes = mh_cell_nodes(sc, p);
+	GPtrArray *nodes = mh_sched_nodes(sc, p);
 
 	for (guint i = 0; i < nodes->len; i++) {
 		const struct mh_node *n = g_ptr_array_index(nodes, i);
 
-		if (may_call(sc, p, n, mh_cell_worker_of(p, n->id)))
+		if (may_call(sc, p, n, mh_sched_worker_of(p, n->id)))
 			return true;
 	}
 	return false;
 }
 
 static void
-dispatch(struct mh_cell *sc, struct cpool *p)
+dispatch(struct mh_sched *sc, struct sched_pool *p)
 {
 	while (any_free(sc, p)) {
 		GArray *ready = ready_stages(sc, p);
@@ -557,7 +559,7 @@
 }
 
 void
-mh_cell_dispatch_all(struct mh_cell *sc)
+mh_sched_dispatch_all(struct mh_sched *sc)
 {
 	GHashTableIter it;
 	gpointer key, value;
@@ -572,24 +574,24 @@
 }
 
 void
-mh_cell_learn(struct mh_cell *sc, struct mh_batch *b, struct worker *w)
+mh_sched_learn(struct mh_sched *sc, struct mh_batch *b, struct worker *w)
 {
-	const struct mh_gwork *gw = mh_cell_pool_of(sc, b->pool)->work;
+	const struct mh_gwork *gw = mh_sched_pool_of(sc, b->pool)->work;
 	double took = (double)(mh_now(sc->k) - b->sent_us);
 	double ratio = took / (double)MAX(b->expect_us, 1);
 	double over;
 
 	/* If others waited there, the time says nothing about the endpoint. */
-	if (b->others > 0) {
-		w->shared_us = mh_now(sc->k) + SHARED_HOLD_US;
+	if (b->others_waiting > 0) {
+		w->shared_end_us = mh_now(sc->k) + SHARED_HOLD_US;
 		return;
 	}
 	if (ratio > SHARED_RATIO)
-		w->shared_us = mh_now(sc->k) + SHARED_HOLD_US;
+		w->shared_end_us = mh_now(sc->k) + SHARED_HOLD_US;
 	else /* as fast as expected: it has recovered from any slowdown */
-		w->slow = MIN(w->slow, SLOWDOWN_MAX);
-	w->slow += SLOWDOWN_WEIGHT * (MAX(ratio, 0.5) - w->slow);
-	w->slow = MAX(w->slow, 0.7);
+		w->slowdown = MIN(w->slowdown, SLOWDOWN_MAX);
+	w->slowdown += SLOWDOWN_WEIGHT * (MAX(ratio, 0.5) - w->slowdown);
+	w->slowdown = MAX(w->slowdown, 0.7);
 	if (ratio < 0.5 || ratio > 1.5 || gw->item_us <= 0)
 		return; /* due to the endpoint, not to the cost of the pieces */
 	over = (took - (double)b->expect_us) /
@@ -601,7 +603,7 @@
 
 		if (m->job == NULL)
 			continue;
-		f = mh_cell_item_factor(sc, m->job->route, m->stage);
+		f = mh_sched_item_factor(sc, m->job->route, m->stage);
 		*f = CLAMP(*f + FACTOR_WEIGHT * over / b->items->len, 0.1, 4);
 	}
 }
--- a/lib/cells.c
+++ b/lib/scheds.c
@@ -21,29 +21,29 @@
  */
 #define SLICE_ENDPOINTS 20
 
-struct mh_cells {
+struct mh_scheds {
 	struct mh_kern *k;
 	struct mh_fleet *f;
 	struct mh_budget *budget;
-	struct mh_cell_ops ops;
+	struct mh_sched_ops ops;
 	struct mh_gconf *conf;
-	GHashTable *cells; /* count and index -> struct mh_cell */
-	uint64_t version; /* fleet version of @count and @share */
+	GHashTable *scheds; /* count and index -> struct mh_sched */
+	uint64_t fleet_version; /* fleet version of @count and @share */
 	uint32_t count;
-	double share[MH_SLICES]; /* see mh_cells_share() */
+	double share[MH_SLICES]; /* see mh_scheds_share() */
 };
 
 static void
 free_sched(void *arg)
 {
-	mh_cell_destroy(arg);
+	mh_sched_destroy(arg);
 }
 
-struct mh_cells *
-mh_cells_create(struct mh_kern *k, struct mh_fleet *f, struct mh_budget *budget,
-    const struct mh_cell_ops *ops)
+struct mh_scheds *
+mh_scheds_create(struct mh_kern *k, struct mh_fleet *f,
+    struct mh_budget *budget, const struct mh_sched_ops *ops)
 {
-	struct mh_cells *scs = g_new0(struct mh_cells, 1);
+	struct mh_scheds *scs = g_new0(struct mh_scheds, 1);
 
 	scs->k = k;
 	scs->f = f;
@@ -51,112 +51,112 @@
 	scs->ops = *ops;
 	scs->count = 1;
 	scs->share[0] = 1;
-	scs->version = UINT64_MAX;
-	scs->cells = g_hash_table_new_full(NULL, NULL, NULL, free_sched);
+	scs->fleet_version = UINT64_MAX;
+	scs->scheds = g_hash_table_new_full(NULL, NULL, NULL, free_sched);
 	return scs;
 }
 
 void
-mh_cells_destroy(struct mh_cells *scs)
+mh_scheds_destroy(struct mh_scheds *scs)
 {
 	if (scs == NULL)
 		return;
-	g_hash_table_destroy(scs->cells);
+	g_hash_table_destroy(scs->scheds);
 	mh_gconf_unref(scs->conf);
 	g_free(scs);
 }
 
-struct mh_cell *
-mh_cells_get(struct mh_cells *scs, uint32_t index, uint32_t count)
+struct mh_sched *
+mh_scheds_get(struct mh_scheds *scs, uint32_t index, uint32_t count)
 {
 	gpointer key = GUINT_TO_POINTER(count * MH_SLICES + index);
-	struct mh_cell *sc = g_hash_table_lookup(scs->cells, key);
+	struct mh_sched *sc = g_hash_table_lookup(scs->scheds, key);
 
 	if (sc != NULL)
 		return sc;
-	sc = mh_cell_create(scs->k, scs->f, scs->budget, &scs->ops);
-	mh_cell_slice(sc, index, count);
+	sc = mh_sched_create(scs->k, scs->f, scs->budget, &scs->ops);
+	mh_sched_set_slice(sc, index, count);
 	if (scs->conf != NULL)
-		mh_cell_conf(sc, scs->conf);
-	g_hash_table_insert(scs->cells, key, sc);
+		mh_sched_set_conf(sc, scs->conf);
+	g_hash_table_insert(scs->scheds, key, sc);
 	return sc;
 }
 
 void
-mh_cells_conf(struct mh_cells *scs, struct mh_gconf *conf)
+mh_scheds_set_conf(struct mh_scheds *scs, struct mh_gconf *conf)
 {
 	GHashTableIter it;
 	gpointer key, value;
 
 	mh_gconf_unref(scs->conf);
 	scs->conf = mh_gconf_ref(conf);
-	scs->version = UINT64_MAX;
-	g_hash_table_iter_init(&it, scs->cells);
+	scs->fleet_version = UINT64_MAX;
+	g_hash_table_iter_init(&it, scs->scheds);
 	while (g_hash_table_iter_next(&it, &key, &value))
-		mh_cell_conf(value, conf);
+		mh_sched_set_conf(value, conf);
 }
 
 void
-mh_cells_each(struct mh_cells *scs,
-    void (*fn)(void *arg, struct mh_cell *sc, uint32_t index, uint32_t count),
+mh_scheds_foreach(struct mh_scheds *scs,
+    void (*fn)(void *arg, struct mh_sched *sc, uint32_t index, uint32_t count),
     void *arg)
 {
-	GList *keys = g_hash_table_get_keys(scs->cells);
+	GList *keys = g_hash_table_get_keys(scs->scheds);
 
 	for (GList *l = keys; l != NULL; l = l->next) {
 		uint32_t key = GPOINTER_TO_UINT(l->data);
 
-		fn(arg, g_hash_table_lookup(scs->cells, l->data),
+		fn(arg, g_hash_table_lookup(scs->scheds, l->data),
 		    key % MH_SLICES, key / MH_SLICES);
 	}
 	g_list_free(keys);
 }
 
 static void
-drain_one(void *arg, struct mh_cell *sc, uint32_t index, uint32_t count)
+drain_one(void *arg, struct mh_sched *sc, uint32_t index, uint32_t count)
 {
 	(void)arg;
 	(void)index;
 	(void)count;
-	mh_cell_leave(sc);
+	mh_sched_drain(sc);
 }
 
 void
-mh_cells_leave(struct mh_cells *scs)
+mh_scheds_drain(struct mh_scheds *scs)
 {
-	mh_cells_each(scs, drain_one, NULL);
+	mh_scheds_foreach(scs, drain_one, NULL);
 }
 
 void
-mh_cells_discard(struct mh_cells *scs, const char *result)
+mh_scheds_discard(struct mh_scheds *scs, const char *result)
 {
 	scs->ops.discard(scs->ops.arg, result);
 }
 
 void
-mh_cells_restarted(struct mh_cells *scs, const char *node)
+mh_scheds_node_restarted(struct mh_scheds *scs, const char *node)
 {
 	GHashTableIter it;
 	gpointer key, value;
 
-	g_hash_table_iter_init(&it, scs->cells);
+	g_hash_table_iter_init(&it, scs->scheds);
 	while (g_hash_table_iter_next(&it, &key, &value))
-		mh_cell_restarted(value, node);
+		mh_sched_node_restarted(value, node);
 }
 
 void
-mh_cells_held(struct mh_cells *scs, uint64_t fingerprint)
+mh_scheds_quarantine(struct mh_scheds *scs, uint64_t fingerprint)
 {
 	GHashTableIter it;
 	gpointer key, value;
 
-	g_hash_table_iter_init(&it, scs->cells);
+	g_hash_table_iter_init(&it, scs->scheds);
 	while (g_hash_table_iter_next(&it, &key, &value))
-		mh_cell_held(value, fingerprint);
+		mh_sched_quarantine(value, fingerprint);
 }
 
 static uint32_t
-smallest_pool(const struct mh_cells *scs)
+smallest_pool(const struct mh_scheds *scs)
 {
 	uint32_t least = UINT32_MAX;
 	GHashTableIter it;
@@ -177,7 +177,7 @@
 
 /* Limits each share by the slice's part of one pool's endpoints. */
 static void
-limit_shares(struct mh_cells *scs, const struct mh_gpool *p)
+limit_shares(struct mh_scheds *scs, const struct mh_gpool *p)
 {
 	GPtrArray *nodes = mh_fleet_pool(scs->f, p->name);
 	uint32_t n[MH_SLICES] = { 0 };
@@ -201,13 +201,13 @@
  * two, so that few changes of the fleet change it.
  */
 static void
-refresh(struct mh_cells *scs)
+refresh(struct mh_scheds *scs)
 {
 	uint32_t least = smallest_pool(scs);
 	GHashTableIter it;
 	gpointer key, value;
 
-	scs->version = mh_fleet_version(scs->f);
+	scs->fleet_version = mh_fleet_version(scs->f);
 	scs->count = 1;
 	while (scs->count * 2 * SLICE_ENDPOINTS <= least &&
 	    scs->count * 2 <= MH_SLICES)
@@ -226,30 +226,30 @@
 }
 
 uint32_t
-mh_cells_count(struct mh_cells *scs)
+mh_scheds_count(struct mh_scheds *scs)
 {
-	if (scs->version != mh_fleet_version(scs->f))
+	if (scs->fleet_version != mh_fleet_version(scs->f))
 		refresh(scs);
 	return scs->count;
 }
 
 double
-mh_cells_share(struct mh_cells *scs, uint32_t index)
+mh_scheds_share(struct mh_scheds *scs, uint32_t index)
 {
-	return index < mh_cells_count(scs) ? scs->share[index] : 0;
+	return index < mh_scheds_count(scs) ? scs->share[index] : 0;
 }
 
 uint32_t
-mh_cells_pick(
-    struct mh_cells *scs, const uint32_t *some, uint32_t n, double unit)
+mh_scheds_pick(
+    struct mh_scheds *scs, const uint32_t *some, uint32_t n, double unit)
 {
 	double all = 0, at;
 
 	for (uint32_t i = 0; i < n; i++)
-		all += mh_cells_share(scs, some[i]);
+		all += mh_scheds_share(scs, some[i]);
 	at = unit * all;
 	for (uint32_t i = 0; i < n; i++) {
-		at -= mh_cells_share(scs, some[i]);
+		at -= mh_scheds_share(scs, some[i]);
 		if (at < 0)
 			return some[i];
 	}
--- a/lib/cellwork.c
+++ b/lib/schedwork.c
@@ -2,7 +2,7 @@
  * DOC: Estimates of pool capacity and of the remaining work of jobs.
  */
 
-#include "cell.h"
+#include "schedint.h"
 
 #include <math.h>
 #include <string.h>
@@ -16,7 +16,7 @@
 #define SLO_SLACK_US (100 * MH_US_PER_MS)
 
 uint32_t
-mh_cell_followers(const struct mh_job *j, uint32_t stage)
+mh_sched_readers(const struct mh_job *j, uint32_t stage)
 {
 	uint32_t n = 0;
 
@@ -29,7 +29,7 @@
 /* pool capacity */
 
 const struct mh_gwork *
-mh_cell_work_of(const struct mh_cell *sc, const char *pool)
+mh_sched_work_conf(const struct mh_sched *sc, const char *pool)
 {
 	static const struct mh_gwork none = { .batch = 1, .running = 1 };
 	const struct mh_gpool *p =
@@ -38,15 +38,15 @@
 	return p == NULL || !p->is_work ? &none : &p->work;
 }
 
-struct cpool *
-mh_cell_pool_of(struct mh_cell *sc, const char *name)
+struct sched_pool *
+mh_sched_pool_of(struct mh_sched *sc, const char *name)
 {
-	struct cpool *p = g_hash_table_lookup(sc->pools, name);
+	struct sched_pool *p = g_hash_table_lookup(sc->pools, name);
 
 	if (p == NULL) {
-		p = g_new0(struct cpool, 1);
+		p = g_new0(struct sched_pool, 1);
 		p->name = g_strdup(name);
-		p->work = mh_cell_work_of(sc, name);
+		p->work = mh_sched_work_conf(sc, name);
 		p->workers = g_hash_table_new_full(
 		    g_str_hash, g_str_equal, g_free, g_free);
 		g_hash_table_insert(sc->pools, p->name, p);
@@ -55,20 +55,20 @@
 }
 
 struct worker *
-mh_cell_worker_of(struct cpool *p, const char *node)
+mh_sched_worker_of(struct sched_pool *p, const char *node)
 {
 	struct worker *w = g_hash_table_lookup(p->workers, node);
 
 	if (w == NULL) {
 		w = g_new0(struct worker, 1);
-		w->slow = 1;
+		w->slowdown = 1;
 		g_hash_table_insert(p->workers, g_strdup(node), w);
 	}
 	return w;
 }
 
 double *
-mh_cell_item_factor(struct mh_cell *sc, const char *route, uint32_t stage)
+mh_sched_item_factor(struct mh_sched *sc, const char *route, uint32_t stage)
 {
 	char *key = g_strdup_printf("%s/%u", route, stage);
 	double *f = g_hash_table_lookup(sc->factors, key);
@@ -84,7 +84,7 @@
 }
 
 double *
-mh_cell_mean_work(struct mh_cell *sc, const char *route, double first)
+mh_sched_mean_work(struct mh_sched *sc, const char *route, double first)
 {
 	double *mean = g_hash_table_lookup(sc->mean_work, route);
 
@@ -97,15 +97,15 @@
 }
 
 int64_t
-mh_cell_item_us(const struct mh_job *j, uint32_t stage)
+mh_sched_item_us(const struct mh_job *j, uint32_t stage)
 {
-	const struct sstate *ss = &j->state->stages[stage];
+	const struct stage_state *ss = &j->state->stages[stage];
 
-	return (int64_t)((double)ss->pool->work->item_us * *ss->factor);
+	return (int64_t)((double)ss->pool->work->item_us * *ss->cost_factor);
 }
 
 GPtrArray *
-mh_cell_nodes(struct mh_cell *sc, struct cpool *p)
+mh_sched_nodes(struct mh_sched *sc, struct sched_pool *p)
 {
 	uint64_t version = mh_fleet_version(sc->f);
 	GPtrArray *all;
@@ -127,9 +127,9 @@
 }
 
 double
-mh_cell_pool_rate(struct mh_cell *sc, struct cpool *p)
+mh_sched_pool_rate(struct mh_sched *sc, struct sched_pool *p)
 {
-	GPtrArray *nodes = mh_cell_nodes(sc, p);
+	GPtrArray *nodes = mh_sched_nodes(sc, p);
 	const struct mh_gwork *w = p->work;
 	double full_us = (double)w->call_us + (double)w->item_us * w->batch;
 	double rate = 0;
@@ -139,45 +139,45 @@
 
 		if (mh_node_usable(sc->f, n))
 			rate += w->batch * w->running /
-			    (full_us * mh_cell_worker_of(p, n->id)->slow);
+			    (full_us * mh_sched_worker_of(p, n->id)->slowdown);
 	}
 	return rate * (double)MH_US_PER_S;
 }
 
 uint32_t
-mh_cell_todo(const struct mh_job *j, uint32_t stage)
+mh_sched_remaining(const struct mh_job *j, uint32_t stage)
 {
-	return j->state->stages[stage].left;
+	return j->state->stages[stage].remaining;
 }
 
 double
-mh_cell_fresh_rate(struct mh_cell *sc, struct cpool *p)
+mh_sched_arrival_rate(struct mh_sched *sc, struct sched_pool *p)
 {
-	double age =
-	    (double)(mh_now(sc->k) - p->fresh_us) / (double)ARRIVAL_WINDOW_US;
+	double age = (double)(mh_now(sc->k) - p->arrivals_us) /
+	    (double)ARRIVAL_WINDOW_US;
 
-	p->fresh *= exp(-age);
-	p->fresh_us = mh_now(sc->k);
-	return p->fresh * (double)MH_US_PER_S / (double)ARRIVAL_WINDOW_US;
+	p->arrivals *= exp(-age);
+	p->arrivals_us = mh_now(sc->k);
+	return p->arrivals * (double)MH_US_PER_S / (double)ARRIVAL_WINDOW_US;
 }
 
 void
-mh_cell_note_fresh(struct mh_cell *sc, const struct mh_job *j)
+mh_sched_note_arrival(struct mh_sched *sc, const struct mh_job *j)
 {
 	for (uint32_t s = 0; s < j->n_stages; s++) {
-		struct cpool *p = j->state->stages[s].pool;
+		struct sched_pool *p = j->state->stages[s].pool;
 
-		(void)mh_cell_fresh_rate(sc, p);
-		p->fresh += mh_cell_todo(j, s);
+		(void)mh_sched_arrival_rate(sc, p);
+		p->arrivals += mh_sched_remaining(j, s);
 	}
 }
 
 bool
-mh_cell_is_ready(const struct mh_job *j, uint32_t stage)
+mh_sched_is_ready(const struct mh_job *j, uint32_t stage)
 {
 	for (uint32_t s = 0; s < j->n_stages; s++) {
 		if ((j->stages[stage].after >> s & 1) != 0 &&
-		    mh_cell_todo(j, s) > 0)
+		    mh_sched_remaining(j, s) > 0)
 			return false;
 	}
 	return true;
@@ -185,13 +185,13 @@
 
 /* Assumes that other jobs' pieces fill the call at least by half. */
 int64_t
-mh_cell_stage_us(const struct mh_job *j, uint32_t stage)
+mh_sched_stage_us(const struct mh_job *j, uint32_t stage)
 {
 	const struct mh_gwork *w = j->state->stages[stage].pool->work;
-	uint32_t n = MAX(mh_cell_todo(j, stage), w->batch / 2);
+	uint32_t n = MAX(mh_sched_remaining(j, stage), w->batch / 2);
 
 	return w->call_us +
-	    (int64_t)MIN(n, w->batch) * mh_cell_item_us(j, stage);
+	    (int64_t)MIN(n, w->batch) * mh_sched_item_us(j, stage);
 }
 
 /*
@@ -202,10 +202,10 @@
 static void
 refresh(struct mh_job *j)
 {
-	j->state->stale = false;
-	j->state->left_us = 0;
+	j->state->paths_stale = false;
+	j->state->longest_path_us = 0;
 	for (uint32_t s = j->n_stages; s-- > 0;) {
-		struct sstate *ss = &j->state->stages[s];
+		struct stage_state *ss = &j->state->stages[s];
 		int64_t longest = 0;
 
 		for (uint32_t t = s + 1; t < j->n_stages; t++) {
@@ -214,43 +214,45 @@
 				    MAX(longest, j->state->stages[t].path_us);
 		}
 		ss->path_us = longest;
-		if (ss->left == 0)
+		if (ss->remaining == 0)
 			continue;
-		ss->path_us += mh_cell_stage_us(j, s);
-		j->state->left_us = MAX(j->state->left_us, ss->path_us);
+		ss->path_us += mh_sched_stage_us(j, s);
+		j->state->longest_path_us =
+		    MAX(j->state->longest_path_us, ss->path_us);
 	}
 }
 
 int64_t
-mh_cell_path_us(struct mh_job *j, uint32_t stage)
+mh_sched_path_us(struct mh_job *j, uint32_t stage)
 {
-	if (j->state->stale)
+	if (j->state->paths_stale)
 		refresh(j);
 	return j->state->stages[stage].path_us;
 }
 
 int64_t
-mh_cell_left_us(struct mh_job *j)
+mh_sched_remaining_us(struct mh_job *j)
 {
-	if (j->state->stale)
+	if (j->state->paths_stale)
 		refresh(j);
-	return j->state->left_us;
+	return j->state->longest_path_us;
 }
 
 bool
-mh_cell_is_late(struct mh_cell *sc, struct mh_job *j)
+mh_sched_misses_slo(struct mh_sched *sc, struct mh_job *j)
 {
-	return mh_now(sc->k) + mh_cell_left_us(j) > j->aim_us + SLO_SLACK_US;
+	return mh_now(sc->k) + mh_sched_remaining_us(j) >
+	    j->slo_us + SLO_SLACK_US;
 }
 
 int64_t
-mh_cell_slack_key(struct mh_job *j, uint32_t stage)
+mh_sched_slack_key(struct mh_job *j, uint32_t stage)
 {
-	int64_t key = j->aim_us - mh_cell_path_us(j, stage) +
+	int64_t key = j->slo_us - mh_sched_path_us(j, stage) +
 	    (int64_t)j->priority * CLASS_LEAD_US;
 
 	/* Among such jobs, those that were started run first. */
-	if (j->state->late)
+	if (j->state->misses_slo)
 		key += j->state->started ? SLO_MISS_PENALTY_US / 2
 					 : SLO_MISS_PENALTY_US;
 	return key;
--- a/marlwork/marlwork.h
+++ b/marlwork/marlwork.h
@@ -93,8 +93,8 @@
 	struct world *w;
 	GRand *rand; /* arrivals */
 	GRand *spread; /* which entry: apart, so that arrivals are the same */
-	struct mh_cells *cells; /* NULL: each entry alone */
-	struct mh_cell *alone[MAX_ENTRIES];
+	struct mh_scheds *cells; /* NULL: each entry alone */
+	struct mh_sched *alone[MAX_ENTRIES];
 	uint32_t entries;
 	double scale; /* of rates and pools */
 	int64_t start_us;
--- a/marlwork/run.c
+++ b/marlwork/run.c
@@ -23,7 +23,7 @@
 on_end(void *arg, const struct mh_job *j, enum mh_job_end end)
 {
 	struct run *r = arg;
-	struct tally *t = j->owner;
+	struct tally *t = j->submitter;
 	struct second *s = second_of(r, j);
 	int64_t now = mh_now(r->w->k);
 
@@ -31,8 +31,8 @@
 	case MH_JOB_DONE:
 		t->done++;
 		s->done++;
-		t->on_time += now <= j->aim_us;
-		s->on_time += now <= j->aim_us;
+		t->on_time += now <= j->slo_us;
+		s->on_time += now <= j->slo_us;
 		mh_hist_add(t->waits, now - j->arrived_us);
 		break;
 	case MH_JOB_REFUSED:
@@ -40,25 +40,25 @@
 		s->refused++;
 		break;
 	case MH_JOB_FAILED:
-	case MH_JOB_HELD:
-	case MH_JOB_MOVED:
+	case MH_JOB_QUARANTINED:
+	case MH_JOB_HANDED_OFF:
 		break;
 	}
 }
 
 /* An entry's own cell, or that of a slice, as often as it has a share. */
-static struct mh_cell *
+static struct mh_sched *
 choose_cell(struct run *r)
 {
 	uint32_t all[MH_SLICES], n;
 
 	if (r->cells == NULL)
 		return r->alone[g_rand_int(r->spread) % r->entries];
-	n = mh_cells_count(r->cells);
+	n = mh_scheds_count(r->cells);
 	for (uint32_t i = 0; i < n; i++)
 		all[i] = i;
-	return mh_cells_get(r->cells,
-	    mh_cells_pick(r->cells, all, n, g_rand_double(r->spread)), n);
+	return mh_scheds_get(r->cells,
+	    mh_scheds_pick(r->cells, all, n, g_rand_double(r->spread)), n);
 }
 
 static void
@@ -78,10 +78,10 @@
 	j = world_job(r->w, pools, pieces, k->aim_us, k->deadline_us);
 	g_free(j->route);
 	j->route = g_strdup(k->name);
-	j->owner = &r->kinds[kind];
+	j->submitter = &r->kinds[kind];
 	r->kinds[kind].arrived++;
 	second_of(r, j)->arrived++;
-	mh_cell_submit(choose_cell(r), j);
+	mh_sched_submit(choose_cell(r), j);
 }
 
 static double
@@ -112,7 +112,7 @@
 			g_snprintf(id, sizeof(id), "%s-%u", s->pool, e);
 			n = world_node(r->w, id);
 			if (n != NULL)
-				n->lost = lost;
+				n->loses_answers = lost;
 		}
 	}
 }
@@ -145,7 +145,7 @@
 	for (guint i = 0; i < r->l->kinds->len; i++)
 		r->kinds[i].waits = mh_hist_create();
 	r->w = world_create();
-	r->w->ended = on_end;
+	r->w->on_end = on_end;
 	r->w->arg = r;
 	for (guint i = 0; i < r->l->pools->len; i++) {
 		const struct wpool *p = g_ptr_array_index(r->l->pools, i);
@@ -156,12 +156,12 @@
 		    p->call_us, p->item_us, UINT64_MAX);
 	}
 	for (uint32_t i = 0; i < r->w->n_nodes; i++)
-		r->w->nodes[i].most_calls =
+		r->w->nodes[i].max_calls =
 		    load_pool(r->l, r->w->nodes[i].pool)->calls;
 	if (strcmp(r->a->policy, "home") == 0)
-		r->cells = world_cells(r->w);
+		r->cells = world_scheds(r->w);
 	for (uint32_t i = 0; r->cells == NULL && i < r->entries; i++)
-		r->alone[i] = world_cell(r->w);
+		r->alone[i] = world_sched(r->w);
 	r->start_us = mh_now(r->w->k);
 }
 
--- a/regress/entwork.c
+++ b/regress/entwork.c
@@ -25,7 +25,7 @@
 		g_array_index(b->items, struct mh_batch_item, i).result =
 		    g_strdup("10.9.9.9:1/result");
 	if (!e->m->cut)
-		mh_cell_batch_end(b->cell, b, MH_BATCH_DONE);
+		mh_sched_batch_end(b->sched, b, MH_BATCH_DONE);
 }
 
 static void
@@ -69,15 +69,15 @@
 	(void)retry_us;
 	e->ended++;
 	e->done += end == MH_JOB_DONE;
-	e->held += end == MH_JOB_HELD;
+	e->held += end == MH_JOB_QUARANTINED;
 }
 
 void
 ent_create(struct ent *e, struct ment *m)
 {
-	struct mh_cell_ops ops = { .run = op_run,
+	struct mh_sched_ops ops = { .run = op_run,
 		.abort = op_abort,
-		.step = op_step,
+		.stage_changed = op_step,
 		.end = op_end,
 		.discard = op_discard,
 		.arg = e };
@@ -86,8 +86,8 @@
 	e->w = world_create();
 	world_pool(e->w, "a", 1, 8, 100 * MS, 10 * MS, 0);
 	world_pool(e->w, "b", 1, 8, 100 * MS, 10 * MS, 0);
-	e->cs = mh_cells_create(m->k, e->w->f, e->w->budget, &ops);
-	mh_cells_conf(e->cs, e->w->conf);
+	e->cs = mh_scheds_create(m->k, e->w->f, e->w->budget, &ops);
+	mh_scheds_set_conf(e->cs, e->w->conf);
 	e->b = mh_broker_create(m->k, m->m, e->cs);
 	mh_broker_on_end(e->b, on_job_end, e);
 }
@@ -96,6 +96,6 @@
 ent_destroy(struct ent *e)
 {
 	mh_broker_destroy(e->b);
-	mh_cells_destroy(e->cs);
+	mh_scheds_destroy(e->cs);
 	world_destroy(e->w);
 }
--- a/regress/entwork.h
+++ b/regress/entwork.h
@@ -9,7 +9,7 @@
 struct ent {
 	struct ment *m;
 	struct world *w;
-	struct mh_cells *cs;
+	struct mh_scheds *cs;
 	struct mh_broker *b;
 	const char *stalled; /* calls of this pool do not end; NULL: all do */
 	uint32_t passes; /* so many of these end all the same */
--- a/regress/main.c
+++ b/regress/main.c
@@ -60,7 +60,7 @@
 	{ "nodes", tests_nodes },
 	{ "adapter", tests_adapter },
 	{ "fuzz", tests_fuzz },
-	{ "cell", tests_cell },
+	{ "cell", tests_sched },
 	{ "gate", tests_gate },
 	{ "leave", tests_leave },
 	{ "mesh", tests_mesh },
--- a/regress/regress.h
+++ b/regress/regress.h
@@ -22,7 +22,7 @@
 extern const struct test tests_nodes[];
 extern const struct test tests_adapter[];
 extern const struct test tests_fuzz[];
-extern const struct test tests_cell[];
+extern const struct test tests_sched[];
 extern const struct test tests_gate[];
 extern const struct test tests_leave[];
 extern const struct test tests_mesh[];
--- a/regress/t_cold.c
+++ b/regress/t_cold.c
@@ -127,14 +127,16 @@
 	world_pool(w, "a", 6, 8, 200 * MS, 20 * MS, 0);
 	world_pool(w, "b", 6, 8, 200 * MS, 20 * MS, 0);
 	for (int i = 0; i < 60; i++, jobs++) {
-		mh_cell_submit(w->c, world_job(w, pools, pieces, 4 * S, 6 * S));
+		mh_sched_submit(
+		    w->sched, world_job(w, pools, pieces, 4 * S, 6 * S));
 		world_run(w, 30 * MS);
 	}
 	CU_ASSERT(calls_in(w, "d0") > 0);
 	mh_fleet_evacuate(w->f, first);
 	before = calls_in(w, "d0");
 	for (int i = 0; i < 60; i++, jobs++) {
-		mh_cell_submit(w->c, world_job(w, pools, pieces, 4 * S, 6 * S));
+		mh_sched_submit(
+		    w->sched, world_job(w, pools, pieces, 4 * S, 6 * S));
 		world_run(w, 30 * MS);
 	}
 	world_run(w, 5 * S);
@@ -143,7 +145,8 @@
 	CU_ASSERT_EQUAL(w->failed, 0);
 	mh_fleet_evacuate(w->f, none);
 	for (int i = 0; i < 20; i++) {
-		mh_cell_submit(w->c, world_job(w, pools, pieces, 4 * S, 6 * S));
+		mh_sched_submit(
+		    w->sched, world_job(w, pools, pieces, 4 * S, 6 * S));
 		world_run(w, 10 * MS);
 	}
 	CU_ASSERT(calls_in(w, "d0") > before);
--- a/regress/t_gate.c
+++ b/regress/t_gate.c
@@ -422,7 +422,7 @@
 static void
 finish_job(struct grig *r)
 {
-	struct mh_jstage *st = &r->job->stages[0];
+	struct mh_job_stage *st = &r->job->stages[0];
 
 	st->pieces = 1;
 	st->results = g_ptr_array_new_with_free_func(g_free);
@@ -455,7 +455,7 @@
 	CU_ASSERT_EQUAL(r->sends, 1);
 	CU_ASSERT_EQUAL(r->jobs, 2);
 	CU_ASSERT(r->job->deadline_us > mh_now(r->k) + S);
-	CU_ASSERT(r->job->aim_us >= mh_now(r->k));
+	CU_ASSERT(r->job->slo_us >= mh_now(r->k));
 	finish_job(r);
 	CU_ASSERT_EQUAL(r->sends, 2);
 	CU_ASSERT_STRING_EQUAL(r->resume, "1");
--- a/regress/t_handon.c
+++ b/regress/t_handon.c
@@ -27,7 +27,7 @@
 	struct ent all[ENTRIES];
 	struct ent *asker;
 	struct ent *home;
-	struct mh_cell *cell; /* the home's */
+	struct mh_sched *cell; /* the home's */
 	struct mh_job *asked; /* the asker's */
 	struct mh_job *begun; /* the home's; NULL: it has ended */
 };
@@ -52,7 +52,7 @@
 		pieces[s] = 1 + pick(h, PIECES_MOST);
 	}
 	j = world_job(h->asker->w, pools, pieces, 5 * S, 9 * S);
-	j->aim_us = mh_now(h->asker->m->k) + 5 * S;
+	j->slo_us = mh_now(h->asker->m->k) + 5 * S;
 	j->deadline_us = mh_now(h->asker->m->k) + 9 * S;
 	for (uint32_t s = 1; s < n; s++)
 		j->stages[s].after = 1U << (s - 1) | pick(h, 1U << s);
@@ -86,7 +86,7 @@
 	stall(h);
 	mh_broker_submit(h->asker->b, h->asked);
 	mrig_run(h->r, UNREAD_US);
-	h->cell = mh_cells_get(h->home->cs, 0, 1);
+	h->cell = mh_scheds_get(h->home->cs, 0, 1);
 	if (h->cell->jobs->len > 0)
 		h->begun = g_ptr_array_index(h->cell->jobs, 0);
 	return h;
@@ -123,12 +123,12 @@
 }
 
 static void
-end_calls(struct mh_cell *c, enum mh_batch_end end)
+end_calls(struct mh_sched *c, enum mh_batch_end end)
 {
 	GList *all = g_hash_table_get_values(c->batches);
 
 	for (GList *l = all; l != NULL; l = l->next)
-		mh_cell_batch_end(c, l->data, end);
+		mh_sched_batch_end(c, l->data, end);
 	g_list_free(all);
 }
 
@@ -147,7 +147,7 @@
 			struct mh_batch_item *m =
 			    &g_array_index(b->items, struct mh_batch_item, i);
 
-			m->inputs_gone = m->stage > 0 && pick(h, 2) == 0;
+			m->inputs_lost = m->stage > 0 && pick(h, 2) == 0;
 		}
 	}
 	stall(h);
@@ -164,8 +164,8 @@
 	uint32_t n = 0;
 
 	for (uint32_t s = 0; s < j->n_stages; s++)
-		n += j->state->stages[s].left -
-		    (in_calls ? 0 : j->state->stages[s].flying);
+		n += j->state->stages[s].remaining -
+		    (in_calls ? 0 : j->state->stages[s].in_flight);
 	return n;
 }
 
@@ -176,7 +176,8 @@
 	uint32_t n = 0;
 
 	for (uint32_t s = 0; s < j->n_stages; s++)
-		n += j->state->stages[s].left > 0 ? j->stages[s].pieces : 0;
+		n +=
+		    j->state->stages[s].remaining > 0 ? j->stages[s].pieces : 0;
 	return n;
 }
 
@@ -191,7 +192,7 @@
 	uint32_t due = h->begun == NULL ? 0 : not_made(h->begun, !read);
 
 	mh_mesh_leave(h->home->m->m);
-	mh_cells_leave(h->home->cs);
+	mh_scheds_drain(h->home->cs);
 	if (read) {
 		mrig_run(h->r, READ_US);
 		make_results(h);
@@ -297,7 +298,7 @@
 {
 	static const char *const pools[] = { "a", NULL };
 	const uint32_t pieces[] = { 8 };
-	struct mh_cell *c = mh_cells_get(e->cs, 0, 1);
+	struct mh_sched *c = mh_scheds_get(e->cs, 0, 1);
 	struct mh_job *j[PIECES_MOST];
 	uint32_t kept;
 
@@ -305,9 +306,9 @@
 	e->passes = 0;
 	for (uint32_t i = 0; i < jobs; i++) {
 		j[i] = world_job(e->w, pools, pieces, 5 * S, 9 * S);
-		j[i]->aim_us = mh_now(e->m->k) + 5 * S;
+		j[i]->slo_us = mh_now(e->m->k) + 5 * S;
 		j[i]->deadline_us = mh_now(e->m->k) + 9 * S;
-		mh_cell_submit(c, j[i]);
+		mh_sched_submit(c, j[i]);
 	}
 	mrig_run(r, 360 * MS); /* three looks; the call is not overdue yet */
 	kept = c->jobs->len - 1;
@@ -380,7 +381,7 @@
 
 struct next {
 	struct world *w;
-	struct mh_cell *to;
+	struct mh_sched *to;
 };
 
 static void
@@ -392,21 +393,21 @@
 	int64_t now = mh_now(n->w->k);
 	struct mh_job *again;
 
-	if (end != MH_JOB_MOVED)
+	if (end != MH_JOB_HANDED_OFF)
 		return;
 	for (uint32_t s = 0; s < j->n_stages; s++) {
 		pools[s] = j->stages[s].pool;
 		pieces[s] = j->stages[s].pieces;
 	}
 	again = world_job(
-	    n->w, pools, pieces, j->aim_us - now, j->deadline_us - now);
-	again->moved = true;
+	    n->w, pools, pieces, j->slo_us - now, j->deadline_us - now);
+	again->handed_off = true;
 	for (uint32_t s = 0; s < j->n_stages; s++)
-		mh_job_made(again, s,
+		mh_job_set_results(again, s,
 		    (char *const *)j->stages[s].results->pdata,
 		    j->stages[s].results->len);
-	mh_job_forget_read(again);
-	mh_cell_submit(n->to, again);
+	mh_job_drop_unneeded(again);
+	mh_sched_submit(n->to, again);
 }
 
 static uint32_t
@@ -415,21 +416,21 @@
 	static const char *const chain[] = { "a", "b", NULL };
 	const uint32_t pieces[] = { 1, 8 };
 	struct world *w = world_create();
-	struct next n = { w, w->c };
+	struct next n = { w, w->sched };
 	uint32_t done;
 
 	world_pool(w, "a", 1, 8, 100 * MS, 10 * MS, 0);
 	world_pool(w, "b", 1, 8, 100 * MS, 10 * MS, 0);
-	world_node(w, "b-0")->slow = l->slow;
+	world_node(w, "b-0")->slowdown = l->slow;
 	if (l->elsewhere)
-		n.to = world_cell(w);
-	w->ended = go_on;
+		n.to = world_sched(w);
+	w->on_end = go_on;
 	w->arg = &n;
 	for (int64_t t = 0; t <= PLAYED_US; t += BETWEEN_US) {
 		if (l->leaves_us == t)
-			mh_cell_leave(w->c);
+			mh_sched_drain(w->sched);
 		if (t < l->jobs * BETWEEN_US)
-			mh_cell_submit(w->c,
+			mh_sched_submit(w->sched,
 			    world_job(w, chain, pieces, AIM_US, DEADLINE_US));
 		world_run(w, BETWEEN_US);
 	}
--- a/regress/t_home.c
+++ b/regress/t_home.c
@@ -54,7 +54,7 @@
 {
 	struct mh_job *j = world_job(e->w, pools, pieces, 5 * S, 9 * S);
 
-	j->aim_us = mh_now(e->m->k) + 5 * S;
+	j->slo_us = mh_now(e->m->k) + 5 * S;
 	j->deadline_us = mh_now(e->m->k) + 9 * S;
 	return j;
 }
@@ -167,7 +167,7 @@
 	mrig_run(r, 200 * MS);
 	CU_ASSERT_EQUAL(all[home->index].calls, 2);
 	CU_ASSERT_EQUAL(all[home->index].calls_b, 1);
-	CU_ASSERT_TRUE(mh_job_stage_made(&j->stages[0]));
+	CU_ASSERT_TRUE(mh_job_stage_done(&j->stages[0]));
 	home->cut = true;
 	mrig_run(r, 2 * S);
 	CU_ASSERT_EQUAL(e->done, 1);
@@ -256,7 +256,7 @@
 	}
 	CU_ASSERT_EQUAL(all[home->index].calls_b, 1);
 	mh_mesh_leave(home->m);
-	mh_cells_leave(all[home->index].cs);
+	mh_scheds_drain(all[home->index].cs);
 	mrig_run(r, 100 * MS);
 	CU_ASSERT_EQUAL(e->done, 1);
 	for (uint32_t i = 0; i < ENTRIES; i++) {
@@ -307,7 +307,7 @@
 	mrig_run(r, 50 * MS);
 	CU_ASSERT_EQUAL(left->calls, 2);
 	mh_mesh_leave(home->m);
-	mh_cells_leave(left->cs);
+	mh_scheds_drain(left->cs);
 	mrig_run(r, 600 * MS);
 	CU_ASSERT_EQUAL(e->done, 1);
 	for (uint32_t i = 0; i < ENTRIES; i++) {
@@ -383,17 +383,17 @@
 	struct world *w = world_create();
 	struct mh_job *j = world_job(w, pools, pieces, 5 * S, 9 * S);
 
-	CU_ASSERT_TRUE(mh_job_wants(j, 0));
-	mh_job_made(j, 0, made, 2);
-	mh_job_forget_read(j);
-	CU_ASSERT_TRUE(mh_job_stage_made(&j->stages[0]));
-	mh_job_made(j, 1, made, 2);
-	CU_ASSERT_FALSE(mh_job_wants(j, 0));
-	CU_ASSERT_TRUE(mh_job_wants(j, 1));
-	CU_ASSERT_TRUE(mh_job_wants(j, 2));
-	mh_job_forget_read(j);
-	CU_ASSERT_FALSE(mh_job_stage_made(&j->stages[0]));
-	CU_ASSERT_TRUE(mh_job_stage_made(&j->stages[1]));
+	CU_ASSERT_TRUE(mh_job_needs_stage(j, 0));
+	mh_job_set_results(j, 0, made, 2);
+	mh_job_drop_unneeded(j);
+	CU_ASSERT_TRUE(mh_job_stage_done(&j->stages[0]));
+	mh_job_set_results(j, 1, made, 2);
+	CU_ASSERT_FALSE(mh_job_needs_stage(j, 0));
+	CU_ASSERT_TRUE(mh_job_needs_stage(j, 1));
+	CU_ASSERT_TRUE(mh_job_needs_stage(j, 2));
+	mh_job_drop_unneeded(j);
+	CU_ASSERT_FALSE(mh_job_stage_done(&j->stages[0]));
+	CU_ASSERT_TRUE(mh_job_stage_done(&j->stages[1]));
 	mh_job_destroy(j);
 	world_destroy(w);
 }
@@ -409,19 +409,19 @@
 	static const char *const chain[] = { "a", "b", NULL };
 	const uint32_t pieces[] = { 2, 4 };
 	struct world *w = world_create();
-	struct mh_cell *other;
+	struct mh_sched *other;
 
 	world_pool(w, "a", 4, 8, 200 * MS, 20 * MS, 0);
 	world_pool(w, "b", 4, 8, 200 * MS, 20 * MS, 0);
-	other = world_cell(w);
+	other = world_sched(w);
 	for (int i = 0; i < 160; i++) {
-		mh_cell_submit(i % 2 == 0 ? w->c : other,
+		mh_sched_submit(i % 2 == 0 ? w->sched : other,
 		    world_job(w, chain, pieces, 3 * S, 8 * S));
 		world_run(w, 50 * MS);
 	}
 	world_run(w, 8 * S);
 	CU_ASSERT_EQUAL(w->done + w->refused + w->failed, 160);
-	CU_ASSERT(w->gone <= 50);
+	CU_ASSERT(w->lost_inputs <= 50);
 	CU_ASSERT(w->on_time >= 130);
 	world_destroy(w);
 }
@@ -591,7 +591,7 @@
 
 /* The one call that a cell has under way. */
 static struct mh_batch *
-only_call(struct mh_cell *c)
+only_call(struct mh_sched *c)
 {
 	GHashTableIter it;
 	gpointer key, value;
@@ -621,7 +621,7 @@
 	struct ment *home;
 	struct ent *e, *left;
 	struct mh_batch *b;
-	struct mh_cell *c;
+	struct mh_sched *c;
 	struct mh_job *j;
 	uint32_t elsewhere = 0;
 
@@ -640,17 +640,17 @@
 	mh_broker_submit(e->b, j);
 	mrig_run(r, 100 * MS);
 	CU_ASSERT_EQUAL(left->calls, 3);
-	CU_ASSERT_TRUE(mh_job_stage_made(&j->stages[1]));
-	c = mh_cells_get(left->cs, 0, 1);
+	CU_ASSERT_TRUE(mh_job_stage_done(&j->stages[1]));
+	c = mh_scheds_get(left->cs, 0, 1);
 	b = only_call(c);
-	g_array_index(b->items, struct mh_batch_item, 0).inputs_gone = true;
+	g_array_index(b->items, struct mh_batch_item, 0).inputs_lost = true;
 	left->stalled = "b";
-	mh_cell_batch_end(c, b, MH_BATCH_DONE);
+	mh_sched_batch_end(c, b, MH_BATCH_DONE);
 	mrig_run(r, 20 * MS);
 	CU_ASSERT_EQUAL(left->calls, 5); /* inputs made, the stage in a call */
 	mh_mesh_leave(home->m);
-	mh_cells_leave(left->cs);
-	mh_cell_batch_end(c, only_call(c), MH_BATCH_FULL);
+	mh_scheds_drain(left->cs);
+	mh_sched_batch_end(c, only_call(c), MH_BATCH_FULL);
 	mrig_run(r, 300 * MS);
 	CU_ASSERT_EQUAL(e->done, 1);
 	for (uint32_t i = 0; i < ENTRIES; i++) {
@@ -680,7 +680,7 @@
 	struct ent all[ENTRIES] = { 0 };
 	struct ment *home, *next;
 	struct ent *e;
-	struct mh_cell *c;
+	struct mh_sched *c;
 	struct mh_job *j[2];
 
 	for (uint32_t i = 0; i < ENTRIES; i++) {
@@ -693,22 +693,22 @@
 	e = &all[home->index == 0];
 	for (int i = 0; i < 2; i++) { /* one in a call, one that waits */
 		j[i] = new_job(e, pools, pieces);
-		j[i]->print = 77;
+		j[i]->fingerprint = 77;
 		mh_broker_submit(e->b, j[i]);
 	}
 	mrig_run(r, 100 * MS);
-	c = mh_cells_get(all[home->index].cs, 0, 1);
+	c = mh_scheds_get(all[home->index].cs, 0, 1);
 	CU_ASSERT_EQUAL_FATAL(c->jobs->len, 2);
 	mh_mesh_leave(home->m);
-	mh_cells_leave(all[home->index].cs);
+	mh_scheds_drain(all[home->index].cs);
 	mrig_run(r, 200 * MS); /* the call is not overdue yet */
 	next = mrig_agreed(r);
 	CU_ASSERT_PTR_NOT_EQUAL(next, home);
-	c = mh_cells_get(all[next->index].cs, 0, 1);
+	c = mh_scheds_get(all[next->index].cs, 0, 1);
 	CU_ASSERT_EQUAL_FATAL(c->jobs->len, 1);
 	CU_ASSERT_EQUAL(
-	    ((struct mh_job *)g_ptr_array_index(c->jobs, 0))->print, 77);
-	mh_cells_held(all[next->index].cs, 77);
+	    ((struct mh_job *)g_ptr_array_index(c->jobs, 0))->fingerprint, 77);
+	mh_scheds_quarantine(all[next->index].cs, 77);
 	mrig_run(r, 40 * MS);
 	CU_ASSERT_EQUAL(e->held, 1);
 	CU_ASSERT_EQUAL(c->jobs->len, 0);
@@ -728,14 +728,14 @@
 {
 	static const char *const pools[] = { "a", NULL };
 	const uint32_t pieces[] = { 8 };
-	struct mh_cell *c = mh_cells_get(e->cs, 0, 1);
+	struct mh_sched *c = mh_scheds_get(e->cs, 0, 1);
 	struct mh_job *j[2];
 	uint32_t left;
 
 	e->stalled = "a";
 	for (int i = 0; i < 2; i++) {
 		j[i] = new_job(e, pools, pieces);
-		mh_cell_submit(c, j[i]);
+		mh_sched_submit(c, j[i]);
 	}
 	mrig_run(r, 360 * MS); /* three looks; the call is not overdue yet */
 	left = c->jobs->len;
@@ -743,7 +743,7 @@
 		mh_broker_drop(e->b, j[i]);
 		mh_job_destroy(j[i]);
 	}
-	mh_cell_batch_end(c, only_call(c), MH_BATCH_DONE);
+	mh_sched_batch_end(c, only_call(c), MH_BATCH_DONE);
 	return left;
 }
 
--- a/regress/t_mesh.c
+++ b/regress/t_mesh.c
@@ -546,7 +546,7 @@
 	asker = &r->e[home->index == 0];
 	e = &all[asker->index];
 	j = world_job(e->w, pools, pieces, 5 * S, 9 * S);
-	j->aim_us = mh_now(asker->k) + 5 * S;
+	j->slo_us = mh_now(asker->k) + 5 * S;
 	j->deadline_us = mh_now(asker->k) + 9 * S;
 	home->cut = true; /* takes nothing, answers nothing */
 	mh_broker_submit(e->b, j);
--- a/regress/t_platform_rows.c
+++ b/regress/t_platform_rows.c
@@ -628,13 +628,13 @@
 	world_pool(w, "a", 1, 8, 200 * MS, 20 * MS, 0);
 	world_pool(w, "b", 1, 8, 400 * MS, 20 * MS, 0);
 	w->keep = true;
-	mh_cell_submit(w->c, world_job(w, chain, pieces, 3 * S, 6 * S));
+	mh_sched_submit(w->sched, world_job(w, chain, pieces, 3 * S, 6 * S));
 	world_run(w, 250 * MS);
 	b0 = world_node(w, "b-0");
 	CU_ASSERT_EQUAL(b0->calls, 1);
 	before = world_node(w, "a-0")->calls;
-	mh_cell_restarted(w->c, "a-0");
-	mh_cell_restarted(w->c, "b-0");
+	mh_sched_node_restarted(w->sched, "a-0");
+	mh_sched_node_restarted(w->sched, "b-0");
 	b0->busy_until_us = 0;
 	world_node(w, "a-0")->busy_until_us = 0;
 	world_run(w, 10 * MS);
--- a/regress/t_poison.c
+++ b/regress/t_poison.c
@@ -468,15 +468,15 @@
 {
 	struct counts *c = arg;
 
-	c->good_done += j->print != BAD && end == MH_JOB_DONE;
-	c->good_held += j->print != BAD && end == MH_JOB_HELD;
-	c->bad_held += j->print == BAD && end == MH_JOB_HELD;
+	c->good_done += j->fingerprint != BAD && end == MH_JOB_DONE;
+	c->good_held += j->fingerprint != BAD && end == MH_JOB_QUARANTINED;
+	c->bad_held += j->fingerprint == BAD && end == MH_JOB_QUARANTINED;
 }
 
 static void
 op_held(void *arg, uint64_t print)
 {
-	mh_cell_held(((struct world *)arg)->c, print);
+	mh_sched_quarantine(((struct world *)arg)->sched, print);
 }
 
 /*
@@ -495,24 +495,24 @@
 
 	mh_poison_create(w->k, &ops);
 	world_pool(w, "a", 12, 8, 100 * MS, 5 * MS, 0);
-	w->fatal = BAD;
-	w->ended = on_ended;
+	w->poison = BAD;
+	w->on_end = on_ended;
 	w->arg = &c;
 	for (uint32_t i = 0; i < 200; i++) {
 		struct mh_job *j = world_job(w, one_pool, pieces, 4 * S, 6 * S);
 
-		j->print = i % 20 == 5 ? BAD : 1000 + i;
-		asked += j->print != BAD;
-		mh_cell_submit(w->c, j);
+		j->fingerprint = i % 20 == 5 ? BAD : 1000 + i;
+		asked += j->fingerprint != BAD;
+		mh_sched_submit(w->sched, j);
 		world_run(w, 25 * MS);
 	}
 	world_run(w, 7 * S);
-	CU_ASSERT(w->falls >= 3 && w->falls <= FALLS_MOST);
+	CU_ASSERT(w->crashes >= 3 && w->crashes <= FALLS_MOST);
 	CU_ASSERT(c.bad_held > 0);
 	CU_ASSERT_EQUAL(c.good_held, 0);
 	CU_ASSERT_EQUAL(c.good_done, asked);
-	if (w->falls > FALLS_MOST || c.good_done != asked)
-		fprintf(stderr, "%u falls, %u of %u done\n", w->falls,
+	if (w->crashes > FALLS_MOST || c.good_done != asked)
+		fprintf(stderr, "%u falls, %u of %u done\n", w->crashes,
 		    c.good_done, asked);
 	world_destroy(w);
 }
--- a/regress/t_cell.c
+++ b/regress/t_sched.c
@@ -37,8 +37,8 @@
 
 	world_pool(w, "a", 3, 8, 200 * MS, 21 * MS, 0);
 	for (int i = 0; i < 96; i++) {
-		mh_cell_submit(
-		    w->c, world_job(w, one_pool, pieces, 1500 * MS, 6 * S));
+		mh_sched_submit(
+		    w->sched, world_job(w, one_pool, pieces, 1500 * MS, 6 * S));
 		world_run(w, 42 * MS);
 	}
 	world_run(w, 3 * S);
@@ -62,8 +62,8 @@
 
 	world_pool(w, "a", 3, 8, 200 * MS, 21 * MS, 0);
 	for (int i = 0; i < 240; i++) {
-		mh_cell_submit(
-		    w->c, world_job(w, one_pool, pieces, 1500 * MS, 6 * S));
+		mh_sched_submit(
+		    w->sched, world_job(w, one_pool, pieces, 1500 * MS, 6 * S));
 		world_run(w, 21 * MS);
 	}
 	world_run(w, 8 * S);
@@ -87,8 +87,9 @@
 	const uint32_t pieces[] = { 16 };
 
 	world_pool(w, "a", 1, 8, 200 * MS, 21 * MS, 0);
-	mh_cell_submit(w->c, world_job(w, one_pool, pieces, 5 * S, 8 * S));
-	mh_cell_submit(w->c, world_job(w, one_pool, pieces, 5 * S, 600 * MS));
+	mh_sched_submit(w->sched, world_job(w, one_pool, pieces, 5 * S, 8 * S));
+	mh_sched_submit(
+	    w->sched, world_job(w, one_pool, pieces, 5 * S, 600 * MS));
 	CU_ASSERT_EQUAL(w->refused, 1);
 	world_run(w, 5 * S);
 	CU_ASSERT_EQUAL(w->done, 1);
@@ -104,7 +105,8 @@
 	const uint32_t pieces[] = { 4 };
 
 	world_pool(w, "a", 1, 8, 200 * MS, 21 * MS, 0);
-	mh_cell_submit(w->c, world_job(w, one_pool, pieces, 5 * S, -1 * MS));
+	mh_sched_submit(
+	    w->sched, world_job(w, one_pool, pieces, 5 * S, -1 * MS));
 	CU_ASSERT_EQUAL(w->refused, 1);
 	CU_ASSERT_EQUAL(w->nodes[0].calls, 0);
 	world_run(w, 1 * S);
@@ -130,7 +132,7 @@
 		    world_job(w, one_pool, pieces, 1500 * MS, 6 * S);
 
 		j->weight = 1;
-		mh_cell_submit(w->c, j);
+		mh_sched_submit(w->sched, j);
 		world_run(w, 21 * MS);
 	}
 	world_run(w, 8 * S);
@@ -165,15 +167,15 @@
 		    world_job(w, one_pool, pieces, 1500 * MS, 6 * S);
 
 		j->priority = i % 2 == 0 ? 0 : 2;
-		mh_cell_submit(w->c, j);
+		mh_sched_submit(w->sched, j);
 		world_run(w, 21 * MS);
 	}
 	world_run(w, 8 * S);
 	for (guint i = 0; i < w->kept->len; i++) {
 		const struct mh_job *j = g_ptr_array_index(w->kept, i);
 
-		urgent += j->priority == 0 && !j->state->late;
-		other += j->priority != 0 && !j->state->late;
+		urgent += j->priority == 0 && !j->state->misses_slo;
+		other += j->priority != 0 && !j->state->misses_slo;
 	}
 	CU_ASSERT(urgent >= 90);
 	CU_ASSERT(other >= 15);
@@ -197,15 +199,16 @@
 		struct mh_job *j =
 		    world_job(w, one_pool, pieces, 1500 * MS, 6 * S);
 
-		mh_cell_submit(w->c, j);
+		mh_sched_submit(w->sched, j);
 		world_run(w, 50 * MS);
-		mh_cell_cancel(w->c, j);
+		mh_sched_cancel(w->sched, j);
 		mh_job_destroy(j);
 		world_run(w, 600 * MS);
 	}
 	CU_ASSERT_EQUAL(g_hash_table_size(w->live), 0);
 	w->nodes[0].calls = w->nodes[0].pieces = 0;
-	mh_cell_submit(w->c, world_job(w, one_pool, pieces, 1500 * MS, 6 * S));
+	mh_sched_submit(
+	    w->sched, world_job(w, one_pool, pieces, 1500 * MS, 6 * S));
 	world_run(w, 600 * MS);
 	CU_ASSERT_EQUAL(w->nodes[0].calls, 1);
 	CU_ASSERT_EQUAL(w->nodes[0].pieces, 4);
@@ -226,11 +229,11 @@
 
 	world_pool(w, "a", 2, 8, 100 * MS, 10 * MS, 0);
 	world_pool(w, "b", 1, 8, 600 * MS, 0, 0);
-	w->nodes[0].slow = w->nodes[1].slow = 4;
-	mh_cell_submit(w->c, world_job(w, chain, pieces, 5 * S, 8 * S));
+	w->nodes[0].slowdown = w->nodes[1].slowdown = 4;
+	mh_sched_submit(w->sched, world_job(w, chain, pieces, 5 * S, 8 * S));
 	world_run(w, 200 * MS);
 	/* The second call to the pool is fast and ends before the first. */
-	w->nodes[0].slow = w->nodes[1].slow = 1;
+	w->nodes[0].slowdown = w->nodes[1].slowdown = 1;
 	world_run(w, 260 * MS);
 	CU_ASSERT_EQUAL(world_node(w, "b-0")->calls, 1);
 	CU_ASSERT_EQUAL(g_hash_table_size(w->live), 0);
@@ -254,7 +257,7 @@
 
 	world_pool(w, "a", 1, 8, 100 * MS, 10 * MS, 0);
 	world_pool(w, "b", 1, 8, 400 * MS, 10 * MS, 0);
-	mh_cell_submit(w->c, world_job(w, chain, pieces, 2 * S, 6 * S));
+	mh_sched_submit(w->sched, world_job(w, chain, pieces, 2 * S, 6 * S));
 	world_run(w, 150 * MS);
 	CU_ASSERT_EQUAL(g_hash_table_size(w->live), 4);
 	world_run(w, 80 * MS);
@@ -279,13 +282,13 @@
 
 	world_pool(w, "a", 1, 8, 100 * MS, 10 * MS, 0);
 	world_pool(w, "b", 1, 8, 100 * MS, 10 * MS, 0);
-	world_node(w, "b-0")->lost = true;
-	mh_cell_submit(w->c, world_job(w, chain, pieces, 20 * S, 30 * S));
+	world_node(w, "b-0")->loses_answers = true;
+	mh_sched_submit(w->sched, world_job(w, chain, pieces, 20 * S, 30 * S));
 	world_run(w, 145 * MS);
 	CU_ASSERT_EQUAL(world_node(w, "b-0")->calls, 1);
 	w->now_us += 4 * S;
 	mh_kern_advance(w->k, w->now_us, w->now_us);
-	world_node(w, "b-0")->lost = false;
+	world_node(w, "b-0")->loses_answers = false;
 	world_run(w, 10 * S);
 	CU_ASSERT_EQUAL(w->without_inputs, 0);
 	CU_ASSERT_EQUAL(w->done, 1);
@@ -302,12 +305,12 @@
 
 	world_pool(w, "a", 1, 8, 100 * MS, 10 * MS, 0);
 	world_pool(w, "b", 2, 8, 100 * MS, 10 * MS, 0);
-	world_node(w, "b-0")->lost = true;
-	world_node(w, "b-1")->lost = true;
-	mh_cell_submit(w->c, world_job(w, chain, pieces, 4 * S, 8 * S));
+	world_node(w, "b-0")->loses_answers = true;
+	world_node(w, "b-1")->loses_answers = true;
+	mh_sched_submit(w->sched, world_job(w, chain, pieces, 4 * S, 8 * S));
 	world_run(w, 400 * MS);
-	world_node(w, "b-1")->lost = false;
-	world_node(w, "b-0")->lost = false;
+	world_node(w, "b-1")->loses_answers = false;
+	world_node(w, "b-0")->loses_answers = false;
 	world_run(w, 6 * S);
 	CU_ASSERT_EQUAL(w->done, 1);
 	CU_ASSERT_EQUAL(w->without_inputs, 0);
@@ -324,8 +327,8 @@
 
 	world_pool(w, "a", 1, 8, 100 * MS, 10 * MS, 0);
 	world_pool(w, "b", 1, 8, 100 * MS, 10 * MS, 0);
-	world_node(w, "b-0")->gone_inputs = true;
-	mh_cell_submit(w->c, world_job(w, chain, pieces, 4 * S, 8 * S));
+	world_node(w, "b-0")->loses_inputs = true;
+	mh_sched_submit(w->sched, world_job(w, chain, pieces, 4 * S, 8 * S));
 	world_run(w, 3 * S);
 	CU_ASSERT_EQUAL(w->done, 1);
 	CU_ASSERT_EQUAL(world_node(w, "a-0")->pieces, 6);
@@ -346,10 +349,10 @@
 
 	world_pool(w, "a", 3, 8, 200 * MS, 21 * MS, 0);
 	slow = world_node(w, "a-0");
-	slow->slow = 5;
+	slow->slowdown = 5;
 	for (int i = 0; i < 60; i++) {
-		mh_cell_submit(
-		    w->c, world_job(w, one_pool, pieces, 1500 * MS, 6 * S));
+		mh_sched_submit(
+		    w->sched, world_job(w, one_pool, pieces, 1500 * MS, 6 * S));
 		world_run(w, 100 * MS);
 	}
 	world_run(w, 3 * S);
@@ -374,18 +377,18 @@
 
 	world_pool(w, "a", 3, 8, 200 * MS, 21 * MS, 0);
 	slow = world_node(w, "a-0");
-	slow->slow = 6;
+	slow->slowdown = 6;
 	for (int i = 0; i < 60; i++) {
-		mh_cell_submit(
-		    w->c, world_job(w, one_pool, pieces, 1500 * MS, 6 * S));
+		mh_sched_submit(
+		    w->sched, world_job(w, one_pool, pieces, 1500 * MS, 6 * S));
 		world_run(w, 100 * MS);
 	}
-	slow->slow = 1;
+	slow->slowdown = 1;
 	world_run(w, 1 * S);
 	before = slow->pieces;
 	for (int i = 0; i < 60; i++) {
-		mh_cell_submit(
-		    w->c, world_job(w, one_pool, pieces, 1500 * MS, 6 * S));
+		mh_sched_submit(
+		    w->sched, world_job(w, one_pool, pieces, 1500 * MS, 6 * S));
 		world_run(w, 50 * MS);
 	}
 	/* A full third of the pool's capacity in 3 s is 65 pieces. */
@@ -406,10 +409,10 @@
 
 	world_pool(w, "a", 1, 8, 200 * MS, 21 * MS, 0);
 	n = world_node(w, "a-0");
-	n->lost = true;
-	mh_cell_submit(w->c, world_job(w, one_pool, pieces, 3 * S, 6 * S));
+	n->loses_answers = true;
+	mh_sched_submit(w->sched, world_job(w, one_pool, pieces, 3 * S, 6 * S));
 	world_run(w, 100 * MS);
-	n->lost = false;
+	n->loses_answers = false;
 	world_run(w, 1800 * MS);
 	CU_ASSERT_EQUAL(n->calls, 2);
 	CU_ASSERT_EQUAL(w->done, 1);
@@ -424,8 +427,8 @@
 	const uint32_t pieces[] = { 3 };
 
 	world_pool(w, "a", 1, 8, 200 * MS, 21 * MS, 0);
-	w->nodes[0].slow = 5;
-	mh_cell_submit(w->c, world_job(w, one_pool, pieces, 3 * S, 6 * S));
+	w->nodes[0].slowdown = 5;
+	mh_sched_submit(w->sched, world_job(w, one_pool, pieces, 3 * S, 6 * S));
 	world_run(w, 2 * S);
 	CU_ASSERT_EQUAL(w->nodes[0].calls, 1);
 	CU_ASSERT_EQUAL(w->done, 1);
@@ -440,11 +443,11 @@
 	const uint32_t pieces[] = { 3 };
 
 	world_pool(w, "a", 1, 8, 100 * MS, 10 * MS, 0);
-	w->nodes[0].full = true;
-	mh_cell_submit(w->c, world_job(w, one_pool, pieces, 3 * S, 6 * S));
+	w->nodes[0].refuses = true;
+	mh_sched_submit(w->sched, world_job(w, one_pool, pieces, 3 * S, 6 * S));
 	world_run(w, 1500 * MS);
 	CU_ASSERT(w->nodes[0].calls < 15);
-	w->nodes[0].full = false;
+	w->nodes[0].refuses = false;
 	world_run(w, 1 * S);
 	CU_ASSERT_EQUAL(w->done, 1);
 	world_destroy(w);
@@ -462,11 +465,11 @@
 
 	world_pool(w, "a", 1, 8, 200 * MS, 21 * MS, 0);
 	for (int i = 0; i < 3; i++)
-		mh_cell_submit(
-		    w->c, world_job(w, one_pool, pieces, 5 * S, 6 * S));
+		mh_sched_submit(
+		    w->sched, world_job(w, one_pool, pieces, 5 * S, 6 * S));
 	world_run(w, 50 * MS);
-	mh_cell_leave(w->c);
-	CU_ASSERT_EQUAL(w->moved, 2);
+	mh_sched_drain(w->sched);
+	CU_ASSERT_EQUAL(w->handed_off, 2);
 	world_run(w, 1 * S);
 	CU_ASSERT_EQUAL(w->done, 1);
 	world_destroy(w);
@@ -477,7 +480,7 @@
 {
 	GPtrArray *kept = arg;
 
-	CU_ASSERT_EQUAL(end, MH_JOB_MOVED);
+	CU_ASSERT_EQUAL(end, MH_JOB_HANDED_OFF);
 	for (guint i = 0; i < j->stages[0].results->len; i++)
 		g_ptr_array_add(
 		    kept, g_strdup(g_ptr_array_index(j->stages[0].results, i)));
@@ -494,20 +497,20 @@
 	struct world *w = world_create();
 	const uint32_t pieces[] = { 12 };
 	GPtrArray *kept = g_ptr_array_new_with_free_func(g_free);
-	struct mh_cell *next;
+	struct mh_sched *next;
 	struct mh_job *j;
 	uint32_t there = 0;
 
 	world_pool(w, "a", 1, 8, 200 * MS, 21 * MS, 0);
-	next = world_cell(w);
-	w->ended = keep_results;
+	next = world_sched(w);
+	w->on_end = keep_results;
 	w->arg = kept;
-	mh_cell_submit(w->c, world_job(w, one_pool, pieces, 5 * S, 6 * S));
+	mh_sched_submit(w->sched, world_job(w, one_pool, pieces, 5 * S, 6 * S));
 	world_run(w, 50 * MS);
-	mh_cell_leave(w->c);
-	CU_ASSERT_EQUAL(w->moved, 0);
+	mh_sched_drain(w->sched);
+	CU_ASSERT_EQUAL(w->handed_off, 0);
 	world_run(w, 400 * MS);
-	CU_ASSERT_EQUAL_FATAL(w->moved, 1);
+	CU_ASSERT_EQUAL_FATAL(w->handed_off, 1);
 	CU_ASSERT_EQUAL(w->nodes[0].pieces, 8);
 	CU_ASSERT_EQUAL_FATAL(kept->len, 12);
 	for (guint i = 0; i < kept->len; i++) {
@@ -518,10 +521,10 @@
 		    result == NULL || g_hash_table_contains(w->live, result));
 	}
 	CU_ASSERT_EQUAL(there, 8);
-	w->ended = NULL;
+	w->on_end = NULL;
 	j = world_job(w, one_pool, pieces, 5 * S, 6 * S);
-	mh_job_made(j, 0, (char *const *)kept->pdata, kept->len);
-	mh_cell_submit(next, j);
+	mh_job_set_results(j, 0, (char *const *)kept->pdata, kept->len);
+	mh_sched_submit(next, j);
 	world_run(w, 1 * S);
 	CU_ASSERT_EQUAL(w->done, 1);
 	CU_ASSERT_EQUAL(w->nodes[0].pieces, 12);
@@ -541,30 +544,30 @@
 	struct world *w = world_create();
 	const uint32_t pieces[] = { 8, 1 };
 	GPtrArray *kept = g_ptr_array_new_with_free_func(g_free);
-	struct mh_cell *next;
+	struct mh_sched *next;
 	struct mh_job *j;
 
 	world_pool(w, "a", 1, 8, 200 * MS, 21 * MS, 12 * 1000);
 	world_pool(w, "b", 1, 8, 200 * MS, 21 * MS, 0);
-	world_node(w, "b-0")->full = true;
-	next = world_cell(w);
-	w->ended = keep_results;
+	world_node(w, "b-0")->refuses = true;
+	next = world_sched(w);
+	w->on_end = keep_results;
 	w->arg = kept;
-	mh_cell_submit(w->c, world_job(w, chain, pieces, 5 * S, 6 * S));
+	mh_sched_submit(w->sched, world_job(w, chain, pieces, 5 * S, 6 * S));
 	world_run(w, 600 * MS);
-	mh_cell_leave(w->c);
+	mh_sched_drain(w->sched);
 	world_run(w, 100 * MS);
-	CU_ASSERT_EQUAL_FATAL(w->moved, 1);
+	CU_ASSERT_EQUAL_FATAL(w->handed_off, 1);
 	CU_ASSERT_EQUAL_FATAL(kept->len, 8);
-	w->ended = NULL;
+	w->on_end = NULL;
 	j = world_job(w, chain, pieces, 5 * S, 6 * S);
-	mh_job_made(j, 0, (char *const *)kept->pdata, kept->len);
-	mh_cell_submit(next, j);
-	mh_cell_submit(next, world_job(w, chain, pieces, 5 * S, 6 * S));
+	mh_job_set_results(j, 0, (char *const *)kept->pdata, kept->len);
+	mh_sched_submit(next, j);
+	mh_sched_submit(next, world_job(w, chain, pieces, 5 * S, 6 * S));
 	world_run(w, 600 * MS);
-	CU_ASSERT(w->most_live > 8);
-	CU_ASSERT(w->most_live <= 12);
-	world_node(w, "b-0")->full = false;
+	CU_ASSERT(w->max_live > 8);
+	CU_ASSERT(w->max_live <= 12);
+	world_node(w, "b-0")->refuses = false;
 	world_run(w, 3 * S);
 	CU_ASSERT_EQUAL(w->done, 2);
 	CU_ASSERT_EQUAL(g_hash_table_size(w->live), 0);
@@ -588,13 +591,14 @@
 	started = world_job(w, chain, pieces, 900 * MS, 9 * S);
 	fresh = world_job(w, chain, pieces, 800 * MS, 9 * S);
 	w->keep = true;
-	mh_cell_submit(w->c, started);
+	mh_sched_submit(w->sched, started);
 	world_run(w, 10 * MS);
-	started->state->late = true;
-	mh_cell_submit(w->c, fresh);
-	fresh->state->late = true;
+	started->state->misses_slo = true;
+	mh_sched_submit(w->sched, fresh);
+	fresh->state->misses_slo = true;
 	fresh->state->started = false;
-	CU_ASSERT(mh_cell_slack_key(started, 1) < mh_cell_slack_key(fresh, 0));
+	CU_ASSERT(
+	    mh_sched_slack_key(started, 1) < mh_sched_slack_key(fresh, 0));
 	world_run(w, 3 * S);
 	CU_ASSERT_EQUAL(w->done, 2);
 	world_destroy(w);
@@ -617,7 +621,7 @@
 		j = world_job(w, one_pool, pieces, 2 * S, 6 * S);
 		j->domain = g_strdup("d1");
 		j->stages[0].result_bytes = 1500000;
-		mh_cell_submit(w->c, j);
+		mh_sched_submit(w->sched, j);
 		world_run(w, 5 * MS);
 	}
 	world_run(w, 500 * MS);
@@ -644,12 +648,12 @@
 		struct mh_job *j = world_job(w, chain, pieces, 3 * S, 6 * S);
 
 		j->stages[0].result_bytes = 400000;
-		mh_cell_submit(w->c, j);
+		mh_sched_submit(w->sched, j);
 		world_run(w, 50 * MS);
 	}
 	world_run(w, 6 * S);
 	CU_ASSERT(w->on_time >= 60);
-	CU_ASSERT(w->crossed * 4 < w->read);
+	CU_ASSERT(w->cross_domain_reads * 4 < w->reads);
 	world_destroy(w);
 }
 
@@ -661,19 +665,19 @@
 test_slices(void)
 {
 	struct world *w = world_create();
-	struct mh_cell_ops none = { 0 };
-	struct mh_cells *scs;
+	struct mh_sched_ops none = { 0 };
+	struct mh_scheds *scs;
 	uint32_t seen = 0;
 	double share = 0;
 
 	world_pool(w, "a", 12, 8, 100 * MS, 10 * MS, 0);
-	scs = mh_cells_create(w->k, w->f, w->budget, &none);
-	mh_cells_conf(scs, w->conf);
-	CU_ASSERT_EQUAL(mh_cells_count(scs), 1);
+	scs = mh_scheds_create(w->k, w->f, w->budget, &none);
+	mh_scheds_set_conf(scs, w->conf);
+	CU_ASSERT_EQUAL(mh_scheds_count(scs), 1);
 	for (uint32_t i = 0; i < 4; i++) {
-		struct mh_cell *c = mh_cells_get(scs, i, 4);
-		struct cpool *p = mh_cell_pool_of(c, "a");
-		GPtrArray *nodes = mh_cell_nodes(c, p);
+		struct mh_sched *c = mh_scheds_get(scs, i, 4);
+		struct sched_pool *p = mh_sched_pool_of(c, "a");
+		GPtrArray *nodes = mh_sched_nodes(c, p);
 
 		seen += nodes->len;
 		for (guint n = 0; n < nodes->len; n++) {
@@ -682,12 +686,12 @@
 			CU_ASSERT_EQUAL(mh_fleet_slice(w->f, nd, 4), i);
 		}
 		CU_ASSERT_EQUAL(nodes->len, 3);
-		share += mh_cells_share(scs, i);
+		share += mh_scheds_share(scs, i);
 	}
 	CU_ASSERT_EQUAL(seen, 12);
 	CU_ASSERT_DOUBLE_EQUAL(share, 1, 1e-9);
-	CU_ASSERT_PTR_EQUAL(mh_cells_get(scs, 1, 4), mh_cells_get(scs, 1, 4));
-	mh_cells_destroy(scs);
+	CU_ASSERT_PTR_EQUAL(mh_scheds_get(scs, 1, 4), mh_scheds_get(scs, 1, 4));
+	mh_scheds_destroy(scs);
 	world_destroy(w);
 }
 
@@ -754,7 +758,7 @@
 	const uint32_t pieces[] = { 1 };
 
 	world_pool(w, "a", 0, 8, 100 * MS, 10 * MS, 0);
-	mh_cell_submit(w->c, world_job(w, one_pool, pieces, 2 * S, 6 * S));
+	mh_sched_submit(w->sched, world_job(w, one_pool, pieces, 2 * S, 6 * S));
 	CU_ASSERT_EQUAL(w->refused, 1);
 	world_destroy(w);
 }
@@ -768,7 +772,7 @@
 
 	world_pool(w, "a", 1, 8, 100 * MS, 10 * MS, 0);
 	world_pool(w, "b", 1, 8, 100 * MS, 10 * MS, 0);
-	mh_cell_submit(w->c, world_job(w, chain, pieces, 2 * S, 6 * S));
+	mh_sched_submit(w->sched, world_job(w, chain, pieces, 2 * S, 6 * S));
 	CU_ASSERT_EQUAL(w->done, 1);
 	world_destroy(w);
 }
@@ -779,7 +783,7 @@
 /** struct handoff - the scheduler that gets the jobs handed off. */
 struct handoff {
 	struct world *w;
-	struct mh_cell *to;
+	struct mh_sched *to;
 };
 
 static void
@@ -791,20 +795,21 @@
 	uint32_t pieces[MH_GSTAGES] = { 0 };
 	int64_t now = mh_now(g->w->k);
 
-	if (end != MH_JOB_MOVED)
+	if (end != MH_JOB_HANDED_OFF)
 		return;
 	for (uint32_t s = 0; s < j->n_stages; s++) {
 		pools[s] = j->stages[s].pool;
 		pieces[s] = j->stages[s].pieces;
 	}
 	n = world_job(
-	    g->w, pools, pieces, j->aim_us - now, j->deadline_us - now);
-	n->moved = true;
+	    g->w, pools, pieces, j->slo_us - now, j->deadline_us - now);
+	n->handed_off = true;
 	for (uint32_t s = 0; s < j->n_stages; s++)
-		mh_job_made(n, s, (char *const *)j->stages[s].results->pdata,
+		mh_job_set_results(n, s,
+		    (char *const *)j->stages[s].results->pdata,
 		    j->stages[s].results->len);
-	mh_job_forget_read(n);
-	mh_cell_submit(g->to, n);
+	mh_job_drop_unneeded(n);
+	mh_sched_submit(g->to, n);
 }
 
 /* Submits four seconds of work; returns the number of jobs that are done. */
@@ -812,25 +817,26 @@
 run_jobs(bool drains, bool elsewhere)
 {
 	struct world *w = world_create();
-	struct handoff g = { w, w->c };
+	struct handoff g = { w, w->sched };
 	const uint32_t pieces[] = { 1, 8 };
 	uint32_t done;
 
 	world_pool(w, "a", 1, 8, 100 * MS, 10 * MS, 0);
 	world_pool(w, "b", 1, 8, 100 * MS, 10 * MS, 0);
-	world_node(w, "b-0")->slow = SLOWER;
+	world_node(w, "b-0")->slowdown = SLOWER;
 	if (elsewhere)
-		g.to = world_cell(w);
-	w->ended = resubmit;
+		g.to = world_sched(w);
+	w->on_end = resubmit;
 	w->arg = &g;
 	for (int i = 0; i < JOBS; i++) {
-		mh_cell_submit(w->c, world_job(w, chain, pieces, 5 * S, 9 * S));
+		mh_sched_submit(
+		    w->sched, world_job(w, chain, pieces, 5 * S, 9 * S));
 		world_run(w, 10 * MS);
 	}
 	CU_ASSERT_EQUAL(w->refused, 0);
 	world_run(w, 2500 * MS);
 	if (drains)
-		mh_cell_leave(w->c);
+		mh_sched_drain(w->sched);
 	world_run(w, 10 * S);
 	done = w->done;
 	world_destroy(w);
@@ -853,7 +859,7 @@
 	CU_ASSERT_EQUAL(run_jobs(true, false), JOBS);
 }
 
-const struct test tests_cell[] = {
+const struct test tests_sched[] = {
 	{ "sched: jobs handed off are accepted", test_handed_off_is_accepted },
 	{ "sched: pieces of all entries share calls", test_pieces_share_calls },
 	{ "sched: a burst, accepted in time or refused",
--- a/regress/t_stage.c
+++ b/regress/t_stage.c
@@ -42,7 +42,7 @@
 	struct mh_fleet *fleet;
 	struct mh_budget *budget;
 	struct plat_stages *stages;
-	struct mh_cell *sched;
+	struct mh_sched *sched;
 	int listen_fd;
 	char addr[32];
 	GPtrArray *conns; /* struct sconn */
@@ -196,7 +196,7 @@
 }
 
 static void
-op_poll(void *arg, struct mh_cell *c, const char *node)
+op_poll(void *arg, struct mh_sched *c, const char *node)
 {
 	plat_stages_ask(((struct srig *)arg)->stages, c, node);
 }
@@ -208,8 +208,8 @@
 
 	(void)retry_us;
 	if (end == MH_JOB_DONE)
-		r->results = mh_job_finals(j);
-	mh_cell_release(r->sched, j);
+		r->results = mh_job_final_results(j);
+	mh_sched_release(r->sched, j);
 	mh_job_destroy(j);
 	mh_loop_stop(r->loop);
 }
@@ -219,11 +219,11 @@
 {
 	struct mh_budget_args b = { 0.2, 50, 10 * MH_US_PER_S };
 	struct mh_gconf *c = plat_conf_decode(conf, strlen(conf), NULL, NULL);
-	struct mh_cell_ops ops = { .run = op_run,
+	struct mh_sched_ops ops = { .run = op_run,
 		.abort = op_abort,
 		.end = op_end,
 		.discard = op_discard,
-		.ask = op_poll,
+		.poll = op_poll,
 		.arg = r };
 	struct mh_listing l = { "i-1", 0, "roster", r->addr, "d", 1, false, 0 };
 
@@ -236,14 +236,14 @@
 	r->fleet = mh_fleet_create(r->k);
 	r->budget = mh_budget_create(r->k, &b);
 	r->stages = plat_stages_create(r->k, r->fleet, r->calls);
-	r->sched = mh_cell_create(r->k, r->fleet, r->budget, &ops);
+	r->sched = mh_sched_create(r->k, r->fleet, r->budget, &ops);
 	r->conns = g_ptr_array_new_with_free_func(free_conn);
 	r->listen_fd = tcp_listen(r->addr);
 	mh_loop_fd(r->loop, r->listen_fd, true, false, on_accept, r);
 	mh_fleet_begin(r->fleet);
 	mh_fleet_list(r->fleet, &l);
 	mh_fleet_end(r->fleet);
-	mh_cell_conf(r->sched, c);
+	mh_sched_set_conf(r->sched, c);
 	mh_gconf_unref(c);
 }
 
@@ -258,7 +258,7 @@
 	j->route = g_strdup("route");
 	j->key = g_strdup("key");
 	j->arrived_us = mh_now(r->k);
-	j->aim_us = j->arrived_us + 3 * MH_US_PER_S;
+	j->slo_us = j->arrived_us + 3 * MH_US_PER_S;
 	j->deadline_us = j->arrived_us + 4 * MH_US_PER_S;
 	j->stages[0].pool = g_strdup("roster");
 	j->stages[0].pieces = PIECES;
@@ -266,7 +266,7 @@
 	j->n_stages = 1;
 	g_free(r->results);
 	r->results = NULL;
-	mh_cell_submit(r->sched, j);
+	mh_sched_submit(r->sched, j);
 	CU_ASSERT_TRUE(run_with_timeout(r->k, r->loop, LONGEST_US));
 	return r->results;
 }
@@ -274,7 +274,7 @@
 static void
 srig_close(struct srig *r)
 {
-	mh_cell_destroy(r->sched);
+	mh_sched_destroy(r->sched);
 	plat_stages_destroy(r->stages);
 	g_ptr_array_free(r->conns, TRUE);
 	mh_loop_fd_close(r->loop, r->listen_fd);
--- a/regress/t_start.c
+++ b/regress/t_start.c
@@ -139,7 +139,7 @@
 	for (uint32_t i = 0; i < ENTRIES; i++) {
 		ent_create(&all[i], &r->e[i]);
 		j[i] = world_job(all[i].w, pools, pieces, 5 * S, 9 * S);
-		j[i]->aim_us = mh_now(r->e[i].k) + 5 * S;
+		j[i]->slo_us = mh_now(r->e[i].k) + 5 * S;
 		j[i]->deadline_us = mh_now(r->e[i].k) + 9 * S;
 		mh_broker_submit(all[i].b, j[i]);
 	}
--- a/regress/world.c
+++ b/regress/world.c
@@ -18,10 +18,10 @@
 	struct mh_batch *b;
 	struct wnode *n;
 	GPtrArray *inputs; /* results that it reads when it starts */
-	bool gone; /* one of them was freed before */
-	struct mh_timer *turn;
-	struct mh_timer *timer;
-	bool falls; /* it crashes its endpoint */
+	bool inputs_lost; /* one of them was freed before */
+	struct mh_timer *start_timer;
+	struct mh_timer *end_timer;
+	bool crashes; /* it crashes its endpoint */
 };
 
 struct wnode *
@@ -37,10 +37,10 @@
 static void
 free_call(struct world *w, struct wcall *call)
 {
-	mh_timer_stop(w->k, &call->timer);
-	mh_timer_stop(w->k, &call->turn);
+	mh_timer_stop(w->k, &call->end_timer);
+	mh_timer_stop(w->k, &call->start_timer);
 	g_ptr_array_free(call->inputs, TRUE);
-	call->n->at_it--;
+	call->n->active_calls--;
 	g_ptr_array_remove(w->calls, call);
 	g_free(call);
 }
@@ -54,25 +54,26 @@
 	struct wnode *n = call->n;
 	enum mh_batch_end end = MH_BATCH_DONE;
 
-	call->timer = NULL;
+	call->end_timer = NULL;
 	b->call = NULL;
 	for (guint i = 0; i < b->items->len; i++) {
 		struct mh_batch_item *m =
 		    &g_array_index(b->items, struct mh_batch_item, i);
 
-		if (n->gone_inputs || call->gone) {
-			m->inputs_gone = true;
-			w->gone++;
+		if (n->loses_inputs || call->inputs_lost) {
+			m->inputs_lost = true;
+			w->lost_inputs++;
 			continue;
 		}
 		m->result = g_strdup_printf("%s/%" PRIu64, n->id, ++w->results);
 		g_hash_table_add(w->live, g_strdup(m->result));
 	}
-	n->gone_inputs = false;
-	w->most_live = MAX(w->most_live, g_hash_table_size(w->live));
-	b->others = n->at_it > 1 ? n->at_it - 2 : 0; /* one starts now */
+	n->loses_inputs = false;
+	w->max_live = MAX(w->max_live, g_hash_table_size(w->live));
+	b->others_waiting =
+	    n->active_calls > 1 ? n->active_calls - 2 : 0; /* one starts now */
 	free_call(w, call);
-	mh_cell_batch_end(b->cell, b, end);
+	mh_sched_batch_end(b->sched, b, end);
 }
 
 static void
@@ -82,10 +83,10 @@
 	struct world *w = call->w;
 	struct mh_batch *b = call->b;
 
-	call->timer = NULL;
+	call->end_timer = NULL;
 	b->call = NULL;
 	free_call(w, call);
-	mh_cell_batch_end(b->cell, b, MH_BATCH_FULL);
+	mh_sched_batch_end(b->sched, b, MH_BATCH_FULL);
 }
 
 /* Counts one input that an endpoint reads; results are ENDPOINT/NUMBER. */
@@ -94,8 +95,9 @@
 {
 	char *endpoint = g_strndup(result, strcspn(result, "/"));
 
-	w->read++;
-	w->crossed += strcmp(world_node(w, endpoint)->domain, n->domain) != 0;
+	w->reads++;
+	w->cross_domain_reads +=
+	    strcmp(world_node(w, endpoint)->domain, n->domain) != 0;
 	g_free(endpoint);
 }
 
@@ -105,11 +107,11 @@
 {
 	struct wcall *call = arg;
 
-	call->turn = NULL;
+	call->start_timer = NULL;
 	for (guint i = 0; i < call->inputs->len; i++) {
 		if (!g_hash_table_contains(
 			call->w->live, g_ptr_array_index(call->inputs, i)))
-			call->gone = true;
+			call->inputs_lost = true;
 	}
 }
 
@@ -147,19 +149,19 @@
 	struct wcall *call = arg;
 	struct mh_batch *b = call->b;
 
-	call->timer = NULL;
+	call->end_timer = NULL;
 	b->call = NULL;
-	b->broke = call->falls;
+	b->conn_lost = call->crashes;
 	free_call(call->w, call);
-	mh_cell_batch_end(b->cell, b, MH_BATCH_LOST);
+	mh_sched_batch_end(b->sched, b, MH_BATCH_LOST);
 }
 
 static bool
 is_poison(const struct world *w, const struct mh_batch *b)
 {
-	for (guint i = 0; i < b->items->len && w->fatal != 0; i++) {
+	for (guint i = 0; i < b->items->len && w->poison != 0; i++) {
 		if (g_array_index(b->items, struct mh_batch_item, i)
-			.job->print == w->fatal)
+			.job->fingerprint == w->poison)
 			return true;
 	}
 	return false;
@@ -173,10 +175,10 @@
 	struct wcall *call = g_new0(struct wcall, 1);
 	const struct mh_gpool *p = mh_gconf_pool(w->conf, b->pool);
 	bool refused =
-	    n->full || (n->most_calls > 0 && n->at_it >= n->most_calls);
+	    n->refuses || (n->max_calls > 0 && n->active_calls >= n->max_calls);
 	int64_t now = mh_now(w->k), took;
 
-	n->at_it++;
+	n->active_calls++;
 	call->w = w;
 	call->b = b;
 	call->n = n;
@@ -184,15 +186,16 @@
 	b->call = call;
 	g_ptr_array_add(w->calls, call);
 	if (refused) {
-		call->timer = mh_timer_start(w->k, STEP_US, on_refused, call);
+		call->end_timer =
+		    mh_timer_start(w->k, STEP_US, on_refused, call);
 		return;
 	}
-	if (n->ended || is_poison(w, b)) {
-		call->falls = !n->ended;
-		w->falls += call->falls;
-		n->ended = true;
-		call->timer = mh_timer_start(
-		    w->k, call->falls ? CRASH_US : STEP_US, on_crash, call);
+	if (n->crashed || is_poison(w, b)) {
+		call->crashes = !n->crashed;
+		w->crashes += call->crashes;
+		n->crashed = true;
+		call->end_timer = mh_timer_start(
+		    w->k, call->crashes ? CRASH_US : STEP_US, on_crash, call);
 		return;
 	}
 	n->calls++;
@@ -202,12 +205,12 @@
 		    w, call, &g_array_index(b->items, struct mh_batch_item, i));
 	took = (int64_t)((double)(p->work.call_us +
 			     p->work.item_us * b->items->len) *
-	    n->slow);
-	call->turn = mh_timer_start(
+	    n->slowdown);
+	call->start_timer = mh_timer_start(
 	    w->k, MAX(n->busy_until_us - now, 0) + FETCH_US, on_start, call);
 	n->busy_until_us = MAX(n->busy_until_us, now) + took;
-	if (!n->lost)
-		call->timer =
+	if (!n->loses_answers)
+		call->end_timer =
 		    mh_timer_start(w->k, n->busy_until_us - now, on_done, call);
 }
 
@@ -235,27 +238,27 @@
 	struct world *w = arg;
 
 	(void)retry_us;
-	if (w->ended != NULL)
-		w->ended(w->arg, j, end);
+	if (w->on_end != NULL)
+		w->on_end(w->arg, j, end);
 	switch (end) {
 	case MH_JOB_DONE:
 		w->done++;
-		w->on_time += mh_now(w->k) <= j->aim_us;
+		w->on_time += mh_now(w->k) <= j->slo_us;
 		if (w->keep) {
 			g_ptr_array_add(w->kept, j);
 			return;
 		}
-		mh_cell_release(j->cell, j);
+		mh_sched_release(j->sched, j);
 		break;
 	case MH_JOB_REFUSED:
 		w->refused++;
 		break;
 	case MH_JOB_FAILED:
-	case MH_JOB_HELD:
+	case MH_JOB_QUARANTINED:
 		w->failed++;
 		break;
-	case MH_JOB_MOVED:
-		w->moved++;
+	case MH_JOB_HANDED_OFF:
+		w->handed_off++;
 		break;
 	}
 	mh_job_destroy(j);
@@ -263,7 +266,7 @@
 
 struct report_poll {
 	struct world *w;
-	struct mh_cell *sc;
+	struct mh_sched *sc;
 	struct wnode *n;
 };
 
@@ -274,12 +277,12 @@
 	struct mh_work_report r = { .running =
 					a->n->busy_until_us > mh_now(a->w->k) };
 
-	mh_cell_told(a->sc, a->n->id, &r);
+	mh_sched_report(a->sc, a->n->id, &r);
 	g_free(a);
 }
 
 static void
-op_poll(void *arg, struct mh_cell *sc, const char *node)
+op_poll(void *arg, struct mh_sched *sc, const char *node)
 {
 	struct world *w = arg;
 	struct report_poll *a = g_new0(struct report_poll, 1);
@@ -290,40 +293,40 @@
 	mh_timer_start(w->k, STEP_US, on_report, a);
 }
 
-static struct mh_cell_ops
+static struct mh_sched_ops
 ops_of(struct world *w)
 {
-	struct mh_cell_ops ops = { op_run, op_abort, NULL, op_end, op_discard,
+	struct mh_sched_ops ops = { op_run, op_abort, NULL, op_end, op_discard,
 		op_poll, w };
 
 	return ops;
 }
 
-static struct mh_cell *
+static struct mh_sched *
 new_sched(struct world *w)
 {
-	struct mh_cell_ops ops = ops_of(w);
+	struct mh_sched_ops ops = ops_of(w);
 
-	return mh_cell_create(w->k, w->f, w->budget, &ops);
+	return mh_sched_create(w->k, w->f, w->budget, &ops);
 }
 
-struct mh_cells *
-world_cells(struct world *w)
+struct mh_scheds *
+world_scheds(struct world *w)
 {
-	struct mh_cell_ops ops = ops_of(w);
+	struct mh_sched_ops ops = ops_of(w);
 
-	w->cells = mh_cells_create(w->k, w->f, w->budget, &ops);
-	mh_cells_conf(w->cells, w->conf);
-	return w->cells;
+	w->scheds = mh_scheds_create(w->k, w->f, w->budget, &ops);
+	mh_scheds_set_conf(w->scheds, w->conf);
+	return w->scheds;
 }
 
-struct mh_cell *
-world_cell(struct world *w)
+struct mh_sched *
+world_sched(struct world *w)
 {
-	struct mh_cell *sc = new_sched(w);
+	struct mh_sched *sc = new_sched(w);
 
-	mh_cell_conf(sc, w->conf);
-	g_ptr_array_add(w->more, sc);
+	mh_sched_set_conf(sc, w->conf);
+	g_ptr_array_add(w->extra_scheds, sc);
 	return sc;
 }
 
@@ -338,8 +341,8 @@
 	mh_kern_advance(w->k, w->now_us, w->now_us);
 	w->f = mh_fleet_create(w->k);
 	w->budget = mh_budget_create(w->k, &b);
-	w->c = new_sched(w);
-	w->more = g_ptr_array_new();
+	w->sched = new_sched(w);
+	w->extra_scheds = g_ptr_array_new();
 	w->conf = mh_gconf_create();
 	w->live = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
 	w->calls = g_ptr_array_new();
@@ -348,30 +351,30 @@
 }
 
 static void
-destroy_sched(struct mh_cell *sc)
+destroy_sched(struct mh_sched *sc)
 {
 	while (sc->jobs->len > 0) {
 		struct mh_job *j = g_ptr_array_index(sc->jobs, 0);
 
-		mh_cell_cancel(sc, j);
+		mh_sched_cancel(sc, j);
 		mh_job_destroy(j);
 	}
-	mh_cell_destroy(sc);
+	mh_sched_destroy(sc);
 }
 
 void
 world_destroy(struct world *w)
 {
 	for (guint i = 0; i < w->kept->len; i++) {
-		mh_cell_release(w->c, g_ptr_array_index(w->kept, i));
+		mh_sched_release(w->sched, g_ptr_array_index(w->kept, i));
 		mh_job_destroy(g_ptr_array_index(w->kept, i));
 	}
-	for (guint i = 0; i < w->more->len; i++)
-		destroy_sched(g_ptr_array_index(w->more, i));
-	g_ptr_array_free(w->more, TRUE);
-	destroy_sched(w->c);
-	if (w->cells != NULL)
-		mh_cells_destroy(w->cells);
+	for (guint i = 0; i < w->extra_scheds->len; i++)
+		destroy_sched(g_ptr_array_index(w->extra_scheds, i));
+	g_ptr_array_free(w->extra_scheds, TRUE);
+	destroy_sched(w->sched);
+	if (w->scheds != NULL)
+		mh_scheds_destroy(w->scheds);
 	while (w->calls->len > 0)
 		free_call(w, g_ptr_array_index(w->calls, 0));
 	g_ptr_array_free(w->calls, TRUE);
@@ -418,12 +421,13 @@
 		g_snprintf(nd->id, sizeof(nd->id), "%s-%u", name, i);
 		g_strlcpy(nd->pool, name, sizeof(nd->pool));
 		g_snprintf(nd->domain, sizeof(nd->domain), "d%u", i);
-		nd->slow = 1;
+		nd->slowdown = 1;
 	}
 	list_nodes(w);
-	mh_cell_conf(w->c, w->conf);
-	for (guint i = 0; i < w->more->len; i++)
-		mh_cell_conf(g_ptr_array_index(w->more, i), w->conf);
+	mh_sched_set_conf(w->sched, w->conf);
+	for (guint i = 0; i < w->extra_scheds->len; i++)
+		mh_sched_set_conf(
+		    g_ptr_array_index(w->extra_scheds, i), w->conf);
 }
 
 struct mh_job *
@@ -439,7 +443,7 @@
 	j->route = g_strdup("route");
 	j->key = g_strdup("key");
 	j->arrived_us = mh_now(w->k);
-	j->aim_us = mh_now(w->k) + slo_us;
+	j->slo_us = mh_now(w->k) + slo_us;
 	j->deadline_us = mh_now(w->k) + deadline_us;
 	for (uint32_t s = 0; pools[s] != NULL; s++) {
 		j->stages[s].pool = g_strdup(pools[s]);
--- a/regress/world.h
+++ b/regress/world.h
@@ -7,7 +7,7 @@
  * piece.
  */
 
-#include "cell.h"
+#include "schedint.h"
 #include "mesh.h"
 
 #define WORLD_NODES 1024
@@ -17,13 +17,13 @@
 	char id[16];
 	char pool[16];
 	char domain[16];
-	double slow; /* factor of the duration of calls */
-	bool lost; /* answers are lost */
-	bool full; /* calls are refused */
-	bool ended; /* crashed by the poison request: no answers */
-	uint32_t most_calls; /* more at a time are refused; 0: no limit */
-	uint32_t at_it; /* calls running or waiting */
-	bool gone_inputs; /* the next call does not find its inputs */
+	double slowdown; /* factor of the duration of calls */
+	bool loses_answers; /* answers are lost */
+	bool refuses; /* calls are refused */
+	bool crashed; /* crashed by the poison request: no answers */
+	uint32_t max_calls; /* more at a time are refused; 0: no limit */
+	uint32_t active_calls; /* calls running or waiting */
+	bool loses_inputs; /* the next call does not find its inputs */
 	int64_t busy_until_us;
 	uint32_t calls; /* accepted */
 	uint32_t pieces; /* in these calls */
@@ -34,9 +34,9 @@
 	struct mh_kern *k;
 	struct mh_fleet *f;
 	struct mh_budget *budget;
-	struct mh_cell *c;
-	GPtrArray *more; /* struct mh_sched, see world_cell() */
-	struct mh_cells *cells; /* see world_cells() */
+	struct mh_sched *sched;
+	GPtrArray *extra_scheds; /* struct mh_sched, see world_sched() */
+	struct mh_scheds *scheds; /* see world_scheds() */
 	struct mh_gconf *conf;
 	struct wnode nodes[WORLD_NODES];
 	uint32_t n_nodes;
@@ -48,28 +48,28 @@
 	uint32_t on_time;
 	uint32_t refused;
 	uint32_t failed;
-	uint32_t moved;
+	uint32_t handed_off;
 	uint32_t without_inputs; /* pieces sent with inputs missing */
-	uint32_t gone; /* pieces that did not find their inputs */
-	uint32_t crossed; /* inputs from other domains */
-	uint32_t read; /* inputs read */
-	uint32_t most_live; /* maximum size of @live */
+	uint32_t lost_inputs; /* pieces that did not find their inputs */
+	uint32_t cross_domain_reads; /* inputs from other domains */
+	uint32_t reads; /* inputs read */
+	uint32_t max_live; /* maximum size of @live */
 	bool keep; /* add done jobs to @kept, with their results */
 	GPtrArray *kept; /* struct mh_job */
-	uint64_t fatal; /* fingerprint of the poison request; 0: none */
-	uint32_t falls; /* endpoints crashed by the poison request */
-	void (*ended)(void *arg, const struct mh_job *j, enum mh_job_end end);
+	uint64_t poison; /* fingerprint of the poison request; 0: none */
+	uint32_t crashes; /* endpoints crashed by the poison request */
+	void (*on_end)(void *arg, const struct mh_job *j, enum mh_job_end end);
 	void *arg; /* of on_end() */
 };
 
 struct world *world_create(void);
-/** world_cell() - adds a scheduler that calls the same endpoints. */
-struct mh_cell *world_cell(struct world *w);
+/** world_sched() - adds a scheduler that calls the same endpoints. */
+struct mh_sched *world_sched(struct world *w);
 /**
- * world_cells() - creates schedulers for slices of the endpoints; to be called
+ * world_scheds() - creates schedulers for slices of the endpoints; to be called
  * after world_pool().
  */
-struct mh_cells *world_cells(struct world *w);
+struct mh_scheds *world_scheds(struct world *w);
 void world_destroy(struct world *w);
 /**
  * world_pool() - declares a pool of @n endpoints in domains d0, d1, ...
