--- a/lib/entry.h
+++ b/lib/entry.h
@@ -148,7 +148,7 @@
 void outcome_free(void *lookup);
 
 /* pick.c */
-/** pick_endpoint() - NULL: none can be asked now. */
+/** pick_endpoint() - the endpoint for a call; NULL: none is usable now. */
 struct mh_peer *pick_endpoint(struct request *r, const struct mh_stage *s);
 
 /* pipe.c */
--- a/lib/evacuate.c
+++ b/lib/evacuate.c
@@ -1,8 +1,8 @@
 /**
- * DOC: The failure domains that a declaration document evacuates.
+ * DOC: The list of evacuated failure domains in a declaration document.
  *
- * They stand in the document, so that they go to every process with it and a
- * generation tells who changed them.
+ * The list is part of the document, so that every process receives it with the
+ * document and each change of it has a generation.
  */
 
 #include "marlhoist.h"
@@ -11,9 +11,9 @@
 
 #define FIELD "evacuated:"
 
-/* Whether a line belongs to a list that began on a line before. */
+/* Whether a line continues a list that began on an earlier line. */
 static bool
-goes_on(const char *line)
+continues_list(const char *line)
 {
 	return *line == ' ' || *line == '\t' ||
 	    (*line == '-' && strncmp(line, "---", 3) != 0);
@@ -26,11 +26,12 @@
 	GString *out = g_string_sized_new(len + 64);
 	char *text = g_strndup(data, len);
 	gchar **lines = g_strsplit(text, "\n", -1);
-	bool inside = false;
+	bool in_list = false;
 
 	for (gchar **l = lines; *l != NULL; l++) {
-		inside = g_str_has_prefix(*l, FIELD) || (inside && goes_on(*l));
-		if (inside)
+		in_list = g_str_has_prefix(*l, FIELD) ||
+		    (in_list && continues_list(*l));
+		if (in_list)
 			continue;
 		g_string_append(out, *l);
 		if (l[1] != NULL)
@@ -53,9 +54,9 @@
 	g_string_append(out, "]\n");
 }
 
-/* Whether it says exactly this. */
+/* Whether @d evacuates exactly these domains. */
 static bool
-evacuates(const struct mh_decl *d, const GPtrArray *domains)
+evacuates_exactly(const struct mh_decl *d, const GPtrArray *domains)
 {
 	if ((d->evacuated == NULL ? 0 : d->evacuated->len) != domains->len)
 		return false;
@@ -72,21 +73,21 @@
 	gsize len;
 	const char *data = g_bytes_get_data(doc, &len);
 	GString *text = without_list(data, len);
-	GBytes *made;
+	GBytes *result;
 	struct mh_decl *d;
 
 	if (domains->len > 0)
 		append_list(text, domains);
-	made = g_string_free_to_bytes(text);
-	d = mh_decl_read(made, NULL);
-	if (d == NULL || !evacuates(d, domains)) {
+	result = g_string_free_to_bytes(text);
+	d = mh_decl_read(result, NULL);
+	if (d == NULL || !evacuates_exactly(d, domains)) {
 		g_set_error(err, MH_ERROR, MH_ERR_DECL,
 		    "the document's list of evacuated domains can't be "
 		    "replaced; write \"" FIELD " [NAME]\" on a line of its own "
 		    "and apply the document");
-		g_bytes_unref(made);
-		made = NULL;
+		g_bytes_unref(result);
+		result = NULL;
 	}
 	mh_decl_unref(d);
-	return made;
+	return result;
 }
--- a/lib/fleet.c
+++ b/lib/fleet.c
@@ -1,10 +1,10 @@
 /**
- * DOC: The endpoints, and what this process has seen of each.
+ * DOC: The endpoints, and what this process records of each.
  *
- * The registry says which endpoints exist; it says nothing of one that fails
- * part of its requests while its health check is good.  So every answer and
- * failure counts: an endpoint that fails far more than its pool is left out
- * for a while, never so many that less than half of a pool remains.
+ * The registry lists the endpoints.  It does not show that an endpoint fails
+ * part of its requests while its health check passes, so every answer and
+ * failure is recorded here.  An endpoint that fails far more often than its
+ * pool is ejected for a while; at most half of a pool, rounded up, is ejected.
  */
 
 #include "gate.h"
@@ -13,28 +13,30 @@
 #include <string.h>
 
 /*
- * A shared machine's pace changes many times a second, round a mean that lasts:
- * its word fades to the mean, and that counts until it is old.
+ * The pace of a shared machine changes many times a second around a mean that
+ * changes slowly.  A reported pace decays to the mean within PACE_DECAY_US;
+ * the mean is used until the report is PACE_EXPIRY_US old.
  */
-#define PACE_US (250 * MH_US_PER_MS)
+#define PACE_DECAY_US (250 * MH_US_PER_MS)
 #define PACE_WEIGHT 0.2
-#define PACE_KNOWN_US (10 * MH_US_PER_S)
-/* One failure in four of the recent eight or so moves the share this much. */
+#define PACE_EXPIRY_US (10 * MH_US_PER_S)
+/* Weights of the newest sample: the last eight or so dominate the mean. */
 #define FAIL_WEIGHT 0.2
 #define TOOK_WEIGHT 0.2
 /*
- * A pool's own error rate is no fault of one endpoint: it is left out only
- * above this share, and above twice the mean of the others.
+ * An error rate of the whole pool is no fault of a single endpoint.  An
+ * endpoint is ejected for its share of failures only from this share on, and
+ * only from twice the mean of the other endpoints on.
  */
-#define FAIL_OUT 0.45
-#define FAIL_OVER_POOL 2.0
-/* Unreachable that often in a row: left out without regard to the share. */
-#define STREAK_OUT 2
-/* How long, doubled each time in a row: a restart takes some seconds. */
-#define OUT_MIN_US (700 * MH_US_PER_MS)
-#define OUT_MAX_US (6 * MH_US_PER_S)
-/* Times of one row that differ by less are the same. */
-#define SAME_WARM_US (20 * MH_US_PER_MS)
+#define EJECT_FAIL_SHARE 0.45
+#define EJECT_POOL_FACTOR 2.0
+/* Failures in a row that eject an endpoint whatever its share of failures. */
+#define EJECT_STREAK 2
+/* Ejection time, doubled each time in a row; a restart takes some seconds. */
+#define EJECT_MIN_US (700 * MH_US_PER_MS)
+#define EJECT_MAX_US (6 * MH_US_PER_S)
+/* Warm-up ends read from one unchanged row differ by less than this. */
+#define WARM_ROUNDING_US (20 * MH_US_PER_MS)
 
 struct mh_fleet {
 	struct mh_kern *k;
@@ -43,15 +45,15 @@
 	GHashTable *nodes; /* id -> struct mh_node */
 	GHashTable *names; /* name -> struct mh_node, not owned */
 	GHashTable *pools; /* name -> GPtrArray of struct mh_node */
-	uint32_t mark;
+	uint32_t mark; /* of the current reading of the registry */
 	uint64_t version;
-	uint64_t ranked; /* the version for which ranks were worked out */
-	void (*on_gone)(void *arg, const char *id);
-	void *on_gone_arg;
+	uint64_t ranks_version; /* version for which the ranks were computed */
+	void (*on_removed)(void *arg, const char *id);
+	void *on_removed_arg;
 	void (*on_restart)(void *arg, const char *id);
 	void *on_restart_arg;
-	void (*on_dead)(void *arg, const char *id);
-	void *on_dead_arg;
+	void (*on_unreachable)(void *arg, const char *id);
+	void *on_unreachable_arg;
 };
 
 static void
@@ -118,16 +120,17 @@
 }
 
 /*
- * Endpoints that got nothing for a while may be cold, and their rows tell it
- * late.  They count as cold for the warm-up of their pool, whatever is told.
+ * An endpoint that received nothing during an evacuation may be cold, and its
+ * registry row shows this late.  It is treated as cold for the warm-up time of
+ * its pool, whatever its row or its answers say.
  */
 static void
-take_back(struct mh_fleet *f, struct mh_node *n)
+readmit(struct mh_fleet *f, struct mh_node *n)
 {
-	int64_t until_us = mh_now(f->k) + warmup_us(f, n->pool);
+	int64_t warm_us = mh_now(f->k) + warmup_us(f, n->pool);
 
-	n->unsure_until_us = until_us;
-	n->warm_at_us = MAX(n->warm_at_us, until_us);
+	n->cold_until_us = warm_us;
+	n->warm_at_us = MAX(n->warm_at_us, warm_us);
 }
 
 void
@@ -135,7 +138,7 @@
 {
 	GHashTableIter it;
 	gpointer v;
-	uint32_t out = 0, back = 0;
+	uint32_t evacuated = 0, readmitted = 0;
 
 	g_strfreev(f->evacuated);
 	f->evacuated = g_strdupv((char **)(uintptr_t)domains);
@@ -145,14 +148,14 @@
 		bool was = n->evacuated;
 
 		n->evacuated = g_strv_contains(domains, n->domain);
-		out += n->evacuated;
+		evacuated += n->evacuated;
 		if (was && !n->evacuated) {
-			take_back(f, n);
-			back++;
+			readmit(f, n);
+			readmitted++;
 		}
 	}
 	mh_event(f->k, "evacuated", "domains=%u endpoints=%u taken_back=%u",
-	    g_strv_length(f->evacuated), out, back);
+	    g_strv_length(f->evacuated), evacuated, readmitted);
 }
 
 void
@@ -161,13 +164,13 @@
 	f->mark++;
 }
 
-/* An incarnation's own id; "@" stands in no name. */
+/* The id of one incarnation; names do not contain "@". */
 static char *
-incarnation_id(const char *name, int64_t born_ms)
+incarnation_id(const char *name, int64_t start_ms)
 {
-	if (born_ms == 0)
+	if (start_ms == 0)
 		return g_strdup(name);
-	return g_strdup_printf("%s@%" PRId64, name, born_ms);
+	return g_strdup_printf("%s@%" PRId64, name, start_ms);
 }
 
 static struct mh_node *
@@ -199,14 +202,14 @@
 	return n;
 }
 
-/* What was believed of it ends, here and wherever its id is kept. */
+/* Drops the state of the endpoint, here and, by on_removed, in other parts. */
 static void
-end_node(struct mh_fleet *f, struct mh_node *n)
+remove_node(struct mh_fleet *f, struct mh_node *n)
 {
 	mh_event(f->k, "endpoint-gone", "id=%s pool=%s", n->id, n->pool);
 	g_ptr_array_remove(g_hash_table_lookup(f->pools, n->pool), n);
-	if (f->on_gone != NULL)
-		f->on_gone(f->on_gone_arg, n->id);
+	if (f->on_removed != NULL)
+		f->on_removed(f->on_removed_arg, n->id);
 	if (g_hash_table_lookup(f->names, n->name) == n)
 		g_hash_table_remove(f->names, n->name);
 	g_hash_table_remove(f->nodes, n->id);
@@ -214,45 +217,46 @@
 }
 
 /*
- * An endpoint that starts again holds nothing of before: results, prompts
- * and calls in work there are gone, and neither its failures nor its leaving
- * are its successor's.  So the successor is another node.
+ * A restarted endpoint has lost its results, cached prompts and running calls,
+ * and the failures and the draining state of the previous incarnation do not
+ * apply to it.  It is therefore recorded as a new node.
  */
 static struct mh_node *
-restarted(struct mh_fleet *f, struct mh_node *n, const struct mh_listing *l)
+replace_node(struct mh_fleet *f, struct mh_node *n, const struct mh_listing *l)
 {
-	int64_t former_ms = n->born_ms;
-	uint32_t mark = n->marks;
+	int64_t prev_start_ms = n->born_ms;
+	uint32_t mark = n->mark;
 	char *ended;
 
 	mh_count(f->k, "endpoints_restarted", 1);
 	mh_event(f->k, "endpoint-restarted",
 	    "name=%s pool=%s born_ms=%" PRId64 " former_ms=%" PRId64, l->name,
-	    l->pool, l->born_ms, former_ms);
+	    l->pool, l->born_ms, prev_start_ms);
 	ended = g_strdup(n->id);
-	end_node(f, n);
+	remove_node(f, n);
 	n = add(f, l);
 	if (f->on_restart != NULL)
 		f->on_restart(f->on_restart_arg, ended);
 	g_free(ended);
-	n->former_ms = former_ms;
-	n->marks = mark;
+	n->prev_start_ms = prev_start_ms;
+	n->mark = mark;
 	return n;
 }
 
 /*
- * A row that was written since tells the newest; read again it tells the same
- * time as before, but for what the clocks round.
+ * Applies the warm-up time of a row only if the row was rewritten.  A row that
+ * is read again gives the same end of the warm-up, but for rounding, and the
+ * endpoint may have reported something newer since.
  */
 static void
 take_warmup(struct mh_fleet *f, struct mh_node *n, int64_t warm_us)
 {
 	int64_t now = mh_now(f->k), at_us = now + warm_us;
 
-	if (warm_us == 0 ? n->row_warm_us <= now
-			 : llabs(at_us - n->row_warm_us) <= SAME_WARM_US)
+	if (warm_us == 0 ? n->row_warm_at_us <= now
+			 : llabs(at_us - n->row_warm_at_us) <= WARM_ROUNDING_US)
 		return;
-	n->row_warm_us = at_us;
+	n->row_warm_at_us = at_us;
 	mh_node_warm(f, n, warm_us);
 }
 
@@ -261,15 +265,16 @@
 {
 	struct mh_node *n = g_hash_table_lookup(f->names, l->name);
 
-	/* The row is older than the endpoint's own word: not of this one. */
-	if (n != NULL && n->former_ms != 0 && l->born_ms == n->former_ms) {
-		n->marks = f->mark;
+	/* The row still describes the previous incarnation. */
+	if (n != NULL && n->prev_start_ms != 0 &&
+	    l->born_ms == n->prev_start_ms) {
+		n->mark = f->mark;
 		return;
 	}
 	if (n == NULL)
 		n = add(f, l);
 	else if (n->born_ms != l->born_ms || strcmp(n->pool, l->pool) != 0)
-		n = restarted(f, n, l);
+		n = replace_node(f, n, l);
 	if (strcmp(n->addr, l->addr) != 0) {
 		g_free(n->addr);
 		n->addr = g_strdup(l->addr);
@@ -282,24 +287,24 @@
 	n->capacity = l->capacity;
 	n->leaving = l->leaving;
 	take_warmup(f, n, l->warm_us);
-	n->marks = f->mark;
+	n->mark = f->mark;
 }
 
 void
-mh_fleet_born(struct mh_fleet *f, const char *id, int64_t born_ms)
+mh_fleet_born(struct mh_fleet *f, const char *id, int64_t start_ms)
 {
-	struct mh_node *n = mh_fleet_find(f, id), *now;
+	struct mh_node *n = mh_fleet_find(f, id), *next;
 	struct mh_listing l;
 
-	if (n == NULL || born_ms == 0 || n->born_ms == 0 ||
-	    n->born_ms == born_ms)
+	if (n == NULL || start_ms == 0 || n->born_ms == 0 ||
+	    n->born_ms == start_ms)
 		return;
-	l = (struct mh_listing) { g_strdup(n->name), born_ms, g_strdup(n->pool),
-		g_strdup(n->addr), g_strdup(n->domain), n->capacity, false,
-		warmup_us(f, n->pool) };
-	now = restarted(f, n, &l);
-	now->capacity = l.capacity;
-	now->row_warm_us = now->warm_at_us = mh_now(f->k) + l.warm_us;
+	l = (struct mh_listing) { g_strdup(n->name), start_ms,
+		g_strdup(n->pool), g_strdup(n->addr), g_strdup(n->domain),
+		n->capacity, false, warmup_us(f, n->pool) };
+	next = replace_node(f, n, &l);
+	next->capacity = l.capacity;
+	next->row_warm_at_us = next->warm_at_us = mh_now(f->k) + l.warm_us;
 	g_free((char *)(uintptr_t)l.name);
 	g_free((char *)(uintptr_t)l.pool);
 	g_free((char *)(uintptr_t)l.addr);
@@ -311,26 +316,26 @@
 {
 	GHashTableIter it;
 	gpointer key, value;
-	GPtrArray *gone = g_ptr_array_new();
+	GPtrArray *removed = g_ptr_array_new();
 
 	g_hash_table_iter_init(&it, f->nodes);
 	while (g_hash_table_iter_next(&it, &key, &value)) {
 		struct mh_node *n = value;
 
-		if (n->marks != f->mark)
-			g_ptr_array_add(gone, n);
+		if (n->mark != f->mark)
+			g_ptr_array_add(removed, n);
 	}
-	for (guint i = 0; i < gone->len; i++)
-		end_node(f, g_ptr_array_index(gone, i));
-	g_ptr_array_free(gone, TRUE);
+	for (guint i = 0; i < removed->len; i++)
+		remove_node(f, g_ptr_array_index(removed, i));
+	g_ptr_array_free(removed, TRUE);
 }
 
 void
 mh_fleet_on_gone(
     struct mh_fleet *f, void (*fn)(void *arg, const char *id), void *arg)
 {
-	f->on_gone = fn;
-	f->on_gone_arg = arg;
+	f->on_removed = fn;
+	f->on_removed_arg = arg;
 }
 
 void
@@ -394,16 +399,17 @@
 		struct mh_node *n = g_ptr_array_index(order, i);
 
 		n->rank = i;
-		n->ranked = order->len;
+		n->n_ranked = order->len;
 	}
 	g_ptr_array_free(order, TRUE);
 }
 
 /*
- * Shares of one hash modulo their number differ widely where endpoints are few:
- * of 37, 36 and 43 endpoints of three pools one of two shares had 13, 15 and
- * 31, the other 24, 21 and 12, so that each was held up by the pool of which
- * it had least, and both together did 0.63 of what the pools can.
+ * Slices are cut from the rank in hash order, since slices by hash modulo their
+ * number differ widely where endpoints are few.  Of pools with 37, 36 and 43
+ * endpoints one of two such slices had 13, 15 and 31 and the other 24, 21 and
+ * 12: each was limited by its smallest pool, and both together reached 0.63 of
+ * the throughput of the pools.
  */
 uint32_t
 mh_fleet_slice(struct mh_fleet *f, const struct mh_node *n, uint32_t count)
@@ -411,15 +417,15 @@
 	GHashTableIter it;
 	gpointer key, value;
 
-	if (f->ranked != f->version) {
+	if (f->ranks_version != f->version) {
 		g_hash_table_iter_init(&it, f->pools);
 		while (g_hash_table_iter_next(&it, &key, &value))
 			rank_pool(value);
-		f->ranked = f->version;
+		f->ranks_version = f->version;
 	}
 	if (n->leaving)
 		return count;
-	return (uint32_t)((uint64_t)n->rank * count / n->ranked);
+	return (uint32_t)((uint64_t)n->rank * count / n->n_ranked);
 }
 
 uint64_t
@@ -448,23 +454,23 @@
 mh_node_paced(struct mh_fleet *f, struct mh_node *n, uint32_t percent)
 {
 	n->pace = percent / 100.0;
-	if (n->pace_us == 0)
+	if (n->pace_at_us == 0)
 		n->pace_mean = n->pace;
 	n->pace_mean += PACE_WEIGHT * (n->pace - n->pace_mean);
-	n->pace_us = mh_now(f->k);
+	n->pace_at_us = mh_now(f->k);
 }
 
 double
 mh_node_pace(const struct mh_fleet *f, const struct mh_node *n)
 {
-	int64_t age_us = mh_now(f->k) - n->pace_us;
+	int64_t age_us = mh_now(f->k) - n->pace_at_us;
 
-	if (n->pace_us == 0 || age_us >= PACE_KNOWN_US)
+	if (n->pace_at_us == 0 || age_us >= PACE_EXPIRY_US)
 		return 1;
-	if (age_us >= PACE_US)
+	if (age_us >= PACE_DECAY_US)
 		return n->pace_mean;
 	return n->pace_mean +
-	    (n->pace - n->pace_mean) * (1 - (double)age_us / PACE_US);
+	    (n->pace - n->pace_mean) * (1 - (double)age_us / PACE_DECAY_US);
 }
 
 void
@@ -472,7 +478,7 @@
 {
 	(void)f;
 	n->streak = 0;
-	n->outs = 0;
+	n->ejections = 0;
 	n->fail *= 1 - FAIL_WEIGHT;
 	if (n->took_us <= 0)
 		n->took_us = (double)took_us;
@@ -480,7 +486,7 @@
 }
 
 static double
-others_fail(struct mh_fleet *f, const struct mh_node *n)
+others_fail_mean(struct mh_fleet *f, const struct mh_node *n)
 {
 	GPtrArray *pool = mh_fleet_pool(f, n->pool);
 	double sum = 0;
@@ -494,36 +500,36 @@
 	return pool == NULL || pool->len < 2 ? 0 : sum / (pool->len - 1);
 }
 
-/* Half of a pool stays in use, however bad it looks. */
+/* Whether an ejection leaves at most half of the pool, rounded up, unused. */
 static bool
-may_put_out(struct mh_fleet *f, const struct mh_node *n)
+may_eject(struct mh_fleet *f, const struct mh_node *n)
 {
 	GPtrArray *pool = mh_fleet_pool(f, n->pool);
 	int64_t now = mh_now(f->k);
-	uint32_t out = 0;
+	uint32_t unused = 0;
 
 	for (guint i = 0; pool != NULL && i < pool->len; i++) {
 		const struct mh_node *o = g_ptr_array_index(pool, i);
 
-		out += o != n && (o->evacuated || o->out_until_us > now);
+		unused += o != n && (o->evacuated || o->out_until_us > now);
 	}
-	return pool != NULL && (out + 1) * 2 <= pool->len + 1;
+	return pool != NULL && (unused + 1) * 2 <= pool->len + 1;
 }
 
 void
-mh_node_out(struct mh_fleet *f, struct mh_node *n, const char *why)
+mh_node_eject(struct mh_fleet *f, struct mh_node *n, const char *why)
 {
-	int64_t now = mh_now(f->k), out_us;
+	int64_t now = mh_now(f->k), eject_us;
 
-	if (n->out_until_us > now || !may_put_out(f, n))
+	if (n->out_until_us > now || !may_eject(f, n))
 		return;
-	out_us = MIN(OUT_MIN_US << MIN(n->outs, 4), OUT_MAX_US);
-	n->outs++;
-	n->out_until_us = now + out_us;
+	eject_us = MIN(EJECT_MIN_US << MIN(n->ejections, 4), EJECT_MAX_US);
+	n->ejections++;
+	n->out_until_us = now + eject_us;
 	mh_count(f->k, "endpoints_put_out", 1);
 	mh_event(f->k, "endpoint-out",
 	    "id=%s pool=%s why=%s fail=%.2f streak=%u for_ms=%" PRId64, n->id,
-	    n->pool, why, n->fail, n->streak, mh_ms(out_us));
+	    n->pool, why, n->fail, n->streak, mh_ms(eject_us));
 }
 
 void
@@ -531,26 +537,26 @@
 {
 	n->streak++;
 	n->fail += FAIL_WEIGHT * (1 - n->fail);
-	if (n->streak >= STREAK_OUT ||
-	    (n->fail >= FAIL_OUT &&
-		n->fail >= FAIL_OVER_POOL * others_fail(f, n)))
-		mh_node_out(f, n, why);
+	if (n->streak >= EJECT_STREAK ||
+	    (n->fail >= EJECT_FAIL_SHARE &&
+		n->fail >= EJECT_POOL_FACTOR * others_fail_mean(f, n)))
+		mh_node_eject(f, n, why);
 }
 
 void
 mh_fleet_on_dead(
     struct mh_fleet *f, void (*fn)(void *arg, const char *id), void *arg)
 {
-	f->on_dead = fn;
-	f->on_dead_arg = arg;
+	f->on_unreachable = fn;
+	f->on_unreachable_arg = arg;
 }
 
 void
 mh_node_dead(struct mh_fleet *f, struct mh_node *n, const char *why)
 {
 	mh_node_bad(f, n, why);
-	if (f->on_dead != NULL)
-		f->on_dead(f->on_dead_arg, n->id);
+	if (f->on_unreachable != NULL)
+		f->on_unreachable(f->on_unreachable_arg, n->id);
 }
 
 bool
@@ -564,8 +570,8 @@
 {
 	int64_t at_us = mh_now(f->k) + warm_us;
 
-	if (mh_now(f->k) < n->unsure_until_us)
-		at_us = MAX(at_us, n->unsure_until_us);
+	if (mh_now(f->k) < n->cold_until_us)
+		at_us = MAX(at_us, n->cold_until_us);
 	n->warm_at_us = at_us;
 }
 
--- a/lib/gate.h
+++ b/lib/gate.h
@@ -131,142 +131,150 @@
 /** mh_groute_pool() - a pool by the weights; @unit in [0, 1). */
 const char *mh_groute_pool(const struct mh_groute *r, double unit);
 
-/* fleet.c: the endpoints and what this process knows of each */
+/* fleet.c: the endpoints and what this process records of each */
 
 /** enum mh_ids - how an endpoint numbers the events of its streams. */
 enum mh_ids {
 	MH_IDS_UNKNOWN,
-	MH_IDS_COUNT, /* from 0 or 1 */
-	MH_IDS_LEAVE_OUT /* increasing, from another number */
+	MH_IDS_COUNT, /* consecutive, from 0 or 1 */
+	MH_IDS_LEAVE_OUT /* increasing, with gaps or from another number */
 };
 
 struct mh_fleet;
 
 /**
- * struct mh_node - one endpoint, one incarnation.
+ * struct mh_node - one incarnation of an endpoint.
  *
- * Whatever is believed of an endpoint is kept under @id, so that it ends with
- * the incarnation; @name is what the endpoint calls itself in every one.
+ * State about an endpoint is recorded under @id, so that it is dropped with the
+ * incarnation.  @name is the same in every incarnation.
  */
 struct mh_node {
 	char *id;
 	char *name;
-	int64_t born_ms; /* Unix time of its start; 0: not told */
-	/* the row may still name the one before, when its own word did not */
-	int64_t former_ms;
+	int64_t born_ms; /* Unix time of its start; 0: not reported */
+	int64_t prev_start_ms; /* of the previous incarnation; 0: none */
 	char *pool;
 	char *addr;
 	char *domain;
 	uint32_t capacity;
 	bool leaving;
 	bool evacuated; /* its failure domain is: nothing is sent there */
-	int64_t warm_at_us; /* cold until then */
-	int64_t row_warm_us; /* the same, as its row told last */
-	int64_t unsure_until_us; /* until then it is warm no sooner than that */
-	int64_t turn_from_us; /* while cold, no turn of ours is before */
-	int64_t sent_us; /* our last request went there; 0: none */
-	/* seen by this process */
+	int64_t warm_at_us; /* cold before */
+	int64_t row_warm_at_us; /* the same, by the row last applied */
+	int64_t cold_until_us; /* cold before, whatever is reported */
+	int64_t slot_from_us; /* while cold: no time slot of ours is sooner */
+	int64_t sent_us; /* time of our last request there; 0: none */
+	/* measured by this process or reported by the endpoint */
 	uint32_t inflight; /* own calls */
-	uint32_t running; /* last told by itself */
+	uint32_t running; /* this and the next two: last reported */
 	uint32_t waiting;
 	uint32_t slots;
-	int64_t told_us; /* when; 0: never */
-	double pace; /* how long work takes there, of the usual, as it told */
-	double pace_mean; /* of what it told lately */
-	int64_t pace_us; /* when; 0: never */
-	double fail; /* recent share of failures, 0 to 1 */
-	double took_us; /* recent mean time to an answer */
+	int64_t told_us; /* time of that report; 0: never */
+	double pace; /* last reported time of work, relative to the usual */
+	double pace_mean; /* moving average of the reports */
+	int64_t pace_at_us; /* time of the last report; 0: never */
+	double fail; /* moving average of failures, 0 to 1 */
+	double took_us; /* moving average of the time to an answer */
 	uint32_t streak; /* failures in a row */
-	int64_t out_until_us; /* not chosen before, unless all are out */
-	uint32_t outs; /* times put out in a row */
+	int64_t out_until_us; /* not chosen before, unless all are ejected */
+	uint32_t ejections; /* ejections in a row */
 	enum mh_ids ids; /* of its streams' events */
-	uint32_t marks; /* set by fleet when listed */
-	uint64_t hash; /* of its name: its slice, and whose prompts are home */
-	uint32_t rank; /* among its pool's that are not leaving, by hash... */
-	uint32_t ranked; /* ...and how many of these there are */
-	uint64_t kept_hash; /* of its id: the prompts that it has read */
+	uint32_t mark; /* the last reading of the registry that listed it */
+	uint64_t hash; /* of its name: for slices and rendezvous hashing */
+	uint32_t rank; /* by hash among those of its pool not draining... */
+	uint32_t n_ranked; /* ...and how many of these there are */
+	uint64_t kept_hash; /* of its id: for the prompts that it has cached */
 };
 
 /** struct mh_listing - a row of the registry. */
 struct mh_listing {
 	const char *name;
-	int64_t born_ms; /* Unix time of its start; 0: not told */
+	int64_t born_ms; /* Unix time of its start; 0: not reported */
 	const char *pool;
 	const char *addr;
 	const char *domain;
 	uint32_t capacity;
 	bool leaving;
-	int64_t warm_us;
+	int64_t warm_us; /* remaining warm-up time */
 };
 
 struct mh_fleet *mh_fleet_create(struct mh_kern *k);
-/** mh_fleet_conf() - how long the endpoints of each pool are cold. */
+/** mh_fleet_conf() - sets the configuration with the warm-up of pools. */
 void mh_fleet_conf(struct mh_fleet *f, struct mh_gconf *conf);
 /**
- * mh_fleet_evacuate() - exactly these failure domains are evacuated.
- * @domains: names, ended by NULL
+ * mh_fleet_evacuate() - sets the evacuated failure domains.
+ * @domains: all of their names, NULL-terminated
  */
 void mh_fleet_evacuate(struct mh_fleet *f, const char *const *domains);
 void mh_fleet_destroy(struct mh_fleet *f);
-/** mh_fleet_begin(), _list(), _end() - one whole reading of the registry. */
+/**
+ * mh_fleet_begin(), _list(), _end() - one complete reading of the registry.
+ *
+ * An endpoint that was not listed since _begin() is removed by _end().
+ */
 void mh_fleet_begin(struct mh_fleet *f);
 void mh_fleet_list(struct mh_fleet *f, const struct mh_listing *l);
 void mh_fleet_end(struct mh_fleet *f);
-/** mh_fleet_on_gone() - an endpoint is listed no more; it may still serve. */
+/** mh_fleet_on_gone() - called for each removed node; it may still serve. */
 void mh_fleet_on_gone(
     struct mh_fleet *f, void (*fn)(void *arg, const char *id), void *arg);
-/** mh_fleet_on_restart() - called after, where it is known to have ended. */
+/** mh_fleet_on_restart() - called with the old id after a restart. */
 void mh_fleet_on_restart(
     struct mh_fleet *f, void (*fn)(void *arg, const char *id), void *arg);
 struct mh_node *mh_fleet_find(struct mh_fleet *f, const char *id);
 /**
- * mh_fleet_born() - an endpoint tells when it started.
+ * mh_fleet_born() - an endpoint has reported its start time.
  *
- * Another time than the listed one means that it has started again: what was
- * believed of @n ends, as when it goes, and another node takes its place.
+ * A time other than the listed one means that it was restarted: its node is
+ * removed and a new one takes its place.
  */
-void mh_fleet_born(struct mh_fleet *f, const char *id, int64_t born_ms);
+void mh_fleet_born(struct mh_fleet *f, const char *id, int64_t start_ms);
 /** mh_fleet_at() - the listed endpoint at an address, or NULL. */
 struct mh_node *mh_fleet_at(struct mh_fleet *f, const char *addr);
-/** mh_fleet_pool() - every listed endpoint of a pool; NULL: none. */
+/** mh_fleet_pool() - the endpoints of a pool, or NULL; owned by the fleet. */
 GPtrArray *mh_fleet_pool(struct mh_fleet *f, const char *pool);
 /**
- * mh_fleet_slice() - which of @count equal shares of its pool @n is in.
+ * mh_fleet_slice() - the slice, of @count equal ones of its pool, with @n.
  *
- * All shares have the same number of endpoints, or one more.  One that comes
- * or goes moves one endpoint across each border at most.  @count for one that
- * leaves.
+ * The sizes of slices differ by one at most.  An added or removed endpoint
+ * moves at most one endpoint across each border of two slices.
+ *
+ * Return: 0 to @count - 1, or @count if @n is draining.
  */
 uint32_t mh_fleet_slice(
     struct mh_fleet *f, const struct mh_node *n, uint32_t count);
 uint32_t mh_fleet_size(const struct mh_fleet *f);
-/** mh_fleet_version() - grows whenever endpoints come or go. */
+/** mh_fleet_version() - grows if endpoints are added, removed, drained. */
 uint64_t mh_fleet_version(const struct mh_fleet *f);
-/** mh_node_told() - the endpoint's own word of its load. */
+/** mh_node_told() - records the load that the endpoint reported. */
 void mh_node_told(struct mh_fleet *f, struct mh_node *n, uint32_t running,
     uint32_t waiting, uint32_t slots);
-/** mh_node_paced() - its own word: work takes @percent of the usual time. */
+/** mh_node_paced() - it reported that work takes @percent of usual time. */
 void mh_node_paced(struct mh_fleet *f, struct mh_node *n, uint32_t percent);
-/** mh_node_pace() - that as a factor; 1 where it is not told or old. */
+/** mh_node_pace() - that as a factor; 1 if not reported, or too long ago. */
 double mh_node_pace(const struct mh_fleet *f, const struct mh_node *n);
-/** mh_node_warm() - its own word: it is cold for @warm_us more. */
+/** mh_node_warm() - it reported that it is cold for another @warm_us. */
 void mh_node_warm(struct mh_fleet *f, struct mh_node *n, int64_t warm_us);
 bool mh_node_cold(const struct mh_fleet *f, const struct mh_node *n);
+/** mh_node_good() - records an answer after @took_us. */
 void mh_node_good(struct mh_fleet *f, struct mh_node *n, int64_t took_us);
+/** mh_node_bad() - records a failure, which may eject the endpoint. */
 void mh_node_bad(struct mh_fleet *f, struct mh_node *n, const char *why);
-/** mh_node_out() - left out for a while, unless half of its pool is out. */
-void mh_node_out(struct mh_fleet *f, struct mh_node *n, const char *why);
-/** mh_fleet_on_dead() - an endpoint gave no answer at all. */
+/** mh_node_eject() - ejects it for a while, unless too few would remain. */
+void mh_node_eject(struct mh_fleet *f, struct mh_node *n, const char *why);
+/** mh_fleet_on_dead() - called by mh_node_dead(). */
 void mh_fleet_on_dead(
     struct mh_fleet *f, void (*fn)(void *arg, const char *id), void *arg);
+/** mh_node_dead() - records a failure: it could not be reached. */
 void mh_node_dead(struct mh_fleet *f, struct mh_node *n, const char *why);
+/** mh_node_usable() - not draining, evacuated or ejected. */
 bool mh_node_usable(const struct mh_fleet *f, const struct mh_node *n);
 
-/* place.c: which endpoint takes a request */
+/* place.c: choice of the endpoint for a request */
 
 struct mh_place;
 
-/** struct mh_prompt_part - a part of a prompt, shared with other requests. */
+/** struct mh_prompt_part - a part of a prompt; others may have the same. */
 struct mh_prompt_part {
 	uint64_t id;
 	uint32_t tokens;
@@ -275,39 +283,45 @@
 #define MH_PARTS 16
 #define MH_TRIED 8
 
+/** struct mh_place_ask - a request to be placed; strings are borrowed. */
 struct mh_place_ask {
 	const char *pool;
-	const char *domain; /* the asker's, preferred among equals */
-	uint32_t most; /* calls that we may have at one endpoint, 0: any */
+	const char *domain; /* preferred failure domain, or NULL */
+	uint32_t most; /* of our calls at an endpoint; 0: no limit */
 	struct mh_prompt_part parts[MH_PARTS];
 	uint32_t n_parts;
-	const char *tried[MH_TRIED]; /* ids */
+	const char *tried[MH_TRIED]; /* ids, not chosen again */
 	uint32_t n_tried;
-	double cold_per_s; /* to one cold endpoint, of all entries; 0: any */
-	const char *turn; /* id of the cold endpoint whose turn it has */
-	int64_t wait_by_us; /* absolute: it may wait so long for a turn */
-	int64_t wait_us; /* set without a choice: to be asked again; 0: not */
-	const char *turn_at; /* set with it: the id of where; NULL: none */
-	uint64_t apart; /* chosen by this alone; 0: by its prompt and load */
-	bool at_home; /* set by the choice: where its prompt is kept */
+	/* requests to one cold endpoint from all entries; 0: no limit */
+	double cold_per_s;
+	const char *turn; /* id of the cold endpoint with a slot for it */
+	int64_t wait_by_us; /* absolute: latest usable slot */
+	int64_t wait_us; /* set if none is chosen: retry after it; 0: do not */
+	const char *turn_at; /* id where a slot is reserved, or NULL */
+	uint64_t apart; /* see poison.h; 0: choose by prompt, load */
+	bool at_home; /* set by the choice: expected there */
 };
 
 struct mh_place *mh_place_create(struct mh_kern *k, struct mh_fleet *f);
 void mh_place_destroy(struct mh_place *p);
 /**
- * mh_place_on_rank() - who of the entries sends to a cold endpoint.
- * @fn: how many go before this one there, see mh_mesh_rank()
- * @entries: how many there are
+ * mh_place_on_rank() - sets the order of entries for a cold endpoint.
+ * @fn: returns the rank of this entry there and sets @entries to the number of
+ * entries, see mh_mesh_rank()
  */
 void mh_place_on_rank(struct mh_place *p,
     uint32_t (*fn)(void *arg, const char *endpoint, uint32_t *entries),
     void *arg);
-/** mh_place_pick() - the endpoint to try next, or NULL. */
+/**
+ * mh_place_pick() - the endpoint to try next, or NULL.
+ *
+ * NULL with @a->wait_us set: retry after that time.
+ */
 struct mh_node *mh_place_pick(struct mh_place *p, struct mh_place_ask *a);
-/** mh_place_home() - the endpoint at which a prompt is at home, or NULL. */
+/** mh_place_home() - the endpoint expected to have the prompt, or NULL. */
 const struct mh_node *mh_place_home(
     struct mh_place *p, const struct mh_place_ask *a);
-/** mh_place_sent() - the prompt's parts will be kept at @n. */
+/** mh_place_sent() - @a went to @n, which will cache the prompt's parts. */
 void mh_place_sent(
     struct mh_place *p, const struct mh_place_ask *a, struct mh_node *n);
 
--- a/lib/marlhoist.h
+++ b/lib/marlhoist.h
@@ -655,41 +655,48 @@
 
 /* route.c: service "route" */
 
-/** struct mh_pick - what a call needs of its endpoint. */
+/** struct mh_pick - requirements of a call on its endpoint. */
 struct mh_pick {
 	const char *pool;
 	uint64_t affinity; /* 0: none */
-	const char *avoid_vm; /* tried before */
+	const char *avoid_vm; /* of the previous try; NULL: none */
 	const char *avoid_domain;
-	uint64_t apart; /* chosen by this alone, see poison.h; 0: by load */
+	uint64_t isolation_hash; /* see poison.h; 0: choose by load */
 };
 
 void mh_route_create(struct mh_kern *k, const char *domain);
-/** mh_route_pick() - the endpoint to ask next, or NULL. */
+/** mh_route_pick() - the endpoint for a call, or NULL if none is usable. */
 struct mh_peer *mh_route_pick(struct mh_kern *k, const struct mh_pick *q);
+/** mh_route_load() - records the load that @p reported. */
 void mh_route_load(struct mh_kern *k, struct mh_peer *p, const Mh__Load *l);
+/** mh_route_sent() - a call was sent; mh_route_result() must follow. */
 void mh_route_sent(struct mh_kern *k, struct mh_peer *p);
-/** mh_route_result() - a call there ended; @good false counts against it. */
+/**
+ * mh_route_result() - records the end of a call.
+ * @good: false counts as a failure of @p
+ * @endpoint_us: time at the endpoint; 0: not known
+ */
 void mh_route_result(
     struct mh_kern *k, struct mh_peer *p, bool good, int64_t endpoint_us);
-/** mh_route_judge() - what an entry saw of @p without a call's end. */
+/** mh_route_judge() - the same without the end of a call. */
 void mh_route_judge(
     struct mh_kern *k, struct mh_peer *p, bool good, int64_t endpoint_us);
-/** mh_route_wait() - shortest expected wait in a pool, -1 if none is up. */
+/** mh_route_wait() - shortest expected wait in us; -1: none is usable. */
 int64_t mh_route_wait(struct mh_kern *k, const char *pool, uint32_t priority);
+/** mh_route_usable() - number of usable endpoints, ejected ones included. */
 uint32_t mh_route_usable(struct mh_kern *k, const char *pool);
 
 /* predict.c: service "predict" */
 
 void mh_predict_create(struct mh_kern *k);
-/** mh_predict_add() - a stage took @us with @tokens generated. */
+/** mh_predict_add() - a call took @us and generated @tokens. */
 void mh_predict_add(
     struct mh_kern *k, const char *pool, int64_t us, uint32_t tokens);
-/** mh_predict_first() - a stream's first chunk came after @us. */
+/** mh_predict_first() - the first chunk of a stream came after @us. */
 void mh_predict_first(struct mh_kern *k, const char *pool, int64_t us);
-/** mh_predict_us() - expected time, and its deviation if @dev is given. */
+/** mh_predict_us() - expected time of a call; @dev_us: deviation, or NULL. */
 int64_t mh_predict_us(
-    struct mh_kern *k, const char *pool, uint32_t tokens, int64_t *dev);
+    struct mh_kern *k, const char *pool, uint32_t tokens, int64_t *dev_us);
 
 /* relay.c: service "relay" */
 
@@ -831,42 +838,46 @@
 
 struct mh_queue;
 
-/** struct mh_item - one waiting call; embed it. */
+/** struct mh_item - a queued call, embedded in the caller's struct. */
 struct mh_item {
 	uint32_t priority;
 	int64_t deadline_us;
-	uint64_t units;
-	int64_t predicted_us;
+	uint64_t units; /* weighted tokens */
+	int64_t predicted_us; /* expected time at the endpoint */
 	uint32_t org_weight;
 	const char *org;
 	void *call;
-	/* queue.c's own */
+	/* private to queue.c */
 	uint64_t seq;
 	bool queued;
 };
 
 struct mh_queue *mh_queue_create(uint32_t limit);
 void mh_queue_destroy(struct mh_queue *q);
-/** mh_queue_policy() - urgent first or arrival order. */
+/** mh_queue_policy() - MH_QUEUE_URGENT or MH_QUEUE_FIFO (arrival order). */
 void mh_queue_policy(struct mh_queue *q, uint32_t queueing);
-/** mh_queue_share() - part of the starts kept for a priority. */
+/** mh_queue_share() - share of the starts reserved for a priority, 0 to 1. */
 void mh_queue_share(struct mh_queue *q, uint32_t priority, double share);
 /**
- * mh_queue_put() - adds @it.
+ * mh_queue_put() - adds @it, which stays the caller's.
  *
- * Return: NULL when it fitted, else the item that had to go (maybe @it).
+ * Return: NULL, or the item that is not queued because the queue is full: @it
+ * itself or an evicted one.
  */
 struct mh_item *mh_queue_put(struct mh_queue *q, struct mh_item *it);
 void mh_queue_remove(struct mh_queue *q, struct mh_item *it);
-/** mh_queue_pop() - next to run; only priority 0 if @urgent_only. */
+/** mh_queue_pop() - next item; only of priority 0 if @urgent_only; or NULL. */
 struct mh_item *mh_queue_pop(struct mh_queue *q, bool urgent_only);
 uint32_t mh_queue_len(const struct mh_queue *q);
-/** mh_queue_work_us() - predicted work waiting at @priority or above. */
+/**
+ * mh_queue_work_us() - total predicted time of the items at @priority or above,
+ * with MH_QUEUE_FIFO of all items.
+ */
 int64_t mh_queue_work_us(const struct mh_queue *q, uint32_t priority);
 /**
- * mh_queue_pop_late() - an item that can no longer meet its deadline.
+ * mh_queue_pop_late() - an item that cannot meet its deadline, or NULL.
  *
- * @factor: real over predicted time; 0 waits for the deadline itself.
+ * @factor: actual over predicted time; 0: only items past their deadline.
  */
 struct mh_item *mh_queue_pop_late(
     struct mh_queue *q, int64_t now_us, double factor);
@@ -1235,16 +1246,16 @@
 /** mh_daemon_main() - runs until drained; the process's exit status. */
 int mh_daemon_main(const struct mh_daemon_ops *ops, int argc, char **argv);
 
-/* turn.c: how often a process sends to a cold endpoint */
+/* coldslot.c: time slots for sending to a cold endpoint */
 
-/** struct mh_turn - what is known of it. */
-struct mh_turn {
-	double per_s; /* requests that the endpoint bears, of all entries */
+/** struct mh_cold_slot - what the time slots of an entry depend on. */
+struct mh_cold_slot {
+	double per_s; /* requests the endpoint can take from all entries */
 	uint32_t entries;
-	uint32_t before; /* entries that go before this one */
+	uint32_t rank; /* of this entry in their order, from 0 */
 };
 
-/** mh_turn_us() - time between two sendings of ours; 0: none is ours. */
-int64_t mh_turn_us(const struct mh_turn *t);
+/** mh_cold_slot_us() - interval of our time slots; 0: we have none. */
+int64_t mh_cold_slot_us(const struct mh_cold_slot *t);
 
 #endif
--- a/lib/mesh.h
+++ b/lib/mesh.h
@@ -188,14 +188,14 @@
 /** mh_listed_gone() - names of those that are, the caller's to free. */
 GPtrArray *mh_listed_gone(struct mh_listed *l, int64_t now_us);
 
-/* suspect.c: endpoints that several entries could not reach */
+/* suspect.c: ejection of endpoints that several entries could not reach */
 
 struct mh_suspects;
 
 struct mh_suspects *mh_suspects_create(
     struct mh_kern *k, struct mh_mesh *m, struct mh_fleet *f);
 void mh_suspects_destroy(struct mh_suspects *s);
-/** mh_suspects_report() - an endpoint gave no answer at all. */
+/** mh_suspects_report() - this entry could not reach an endpoint. */
 void mh_suspects_report(struct mh_suspects *s, const char *endpoint);
 
 /* poisonmesh.c: requests under which endpoints end, among entries */
--- a/lib/pick.c
+++ b/lib/pick.c
@@ -1,6 +1,8 @@
 /**
- * DOC: Which endpoint a stage's try goes to: by routing, or, for a
- * non-repeatable call, the owner of its key's partition.
+ * DOC: Chooses the endpoint for a call of a stage.
+ *
+ * A repeatable call is routed; a non-repeatable one goes to the owner of the
+ * partition of its key.
  */
 
 #include "entry.h"
@@ -10,8 +12,9 @@
 #define KEY_CANDIDATES 16
 
 /*
- * An assigned key goes to the least busy owner among a few candidates.  The
- * key is new with each pick: a refused key is never used again.
+ * Assigns a key to a request without one: draws a few keys and takes the one
+ * whose owner has the fewest calls of this process.  Each pick draws anew, so
+ * that a refused key is never used again.
  */
 static struct mh_peer *
 assign_key(struct request *r, struct mh_owners *o)
@@ -67,7 +70,7 @@
 
 	if (s->never)
 		return pick_owner(r, s);
-	q.apart = mh_poison_apart(r->e->k, r->print, s->pool);
+	q.isolation_hash = mh_poison_apart(r->e->k, r->print, s->pool);
 	if (r->picks > 0) {
 		q.avoid_vm = r->last_vm;
 		q.avoid_domain = r->last_domain;
--- a/lib/queue.c
+++ b/lib/queue.c
@@ -1,27 +1,29 @@
 /**
- * DOC: The bounded queue in front of an endpoint, over all entries.
+ * DOC: The bounded queue in front of an endpoint, with the calls of all
+ * entries.
  *
- * Class first; inside a class organisations share by weight in weighted
- * tokens (start-time fair queueing, as a smoother form of the deficit round
- * robin in "Rate Limiting for LLM Endpoints"), and among organisations that
- * are level the earliest deadline goes first.  A lower class keeps the share
- * of starts that its declaration gives it, so it never starves.
+ * Items are ordered by class.  Within a class the organisations share by
+ * weight, counted in weighted tokens (start-time fair queueing, which is
+ * smoother than deficit round robin).  Among the organisations within QUANTUM
+ * of the least virtual time the item with the earliest deadline is first.  A
+ * lower class keeps its declared share of the starts, so that it never
+ * starves.
  */
 
 #include "marlhoist.h"
 
 #include <string.h>
 
-#define QUANTUM 2000.0 /* units an organisation may be ahead */
+#define QUANTUM 2000.0 /* units by which an organisation may be ahead */
 
 struct mh_queue {
 	uint32_t limit;
 	uint32_t queueing;
 	uint64_t seq;
 	GPtrArray *items;
-	GHashTable *vtime; /* organisation -> double */
+	GHashTable *vtime; /* organisation -> double, weighted units served */
 	double share[MH_PRIORITIES];
-	double credit[MH_PRIORITIES];
+	double credit[MH_PRIORITIES]; /* starts due to a lower class */
 };
 
 struct mh_queue *
@@ -107,7 +109,7 @@
 static void
 add(struct mh_queue *q, struct mh_item *it)
 {
-	/* An idle organisation banks no credit. */
+	/* An organisation accumulates no credit while it is idle. */
 	if (!org_waits(q, it->org)) {
 		double *v = vtime_of(q, it->org);
 
@@ -143,7 +145,7 @@
 		if (worse(q->items->pdata[i], worst))
 			worst = q->items->pdata[i];
 	}
-	/* Only a less urgent class makes room: a place once given stays. */
+	/* Only an item of a less urgent class is evicted. */
 	if (worst->priority <= it->priority)
 		return it;
 	mh_queue_remove(q, worst);
--- a/lib/route.c
+++ b/lib/route.c
@@ -1,11 +1,12 @@
 /**
- * DOC: Which endpoint of a pool to ask next.
+ * DOC: Chooses the endpoint of a pool for a call.
  *
- * Two choices by expected delay: calls under way (the reported load, with
- * what this process sent since) times the endpoint's smoothed time.  Prefix
- * affinity goes before that while its endpoint is not much busier than the
- * rest.  Endpoints that fail, or are far slower than their pool, are
- * ejected for a while, never more than a third of the pool.
+ * Takes the better of two random endpoints by expected delay: calls in flight
+ * (the reported load and what this process sent since) times the moving
+ * average of the endpoint's time.  Prefix affinity has precedence as long as
+ * its endpoint is not much busier than the others.  Endpoints that fail, or
+ * are far slower than their pool, are ejected for a while, never more than a
+ * third of the pool.
  */
 
 #include "marlhoist.h"
@@ -19,31 +20,34 @@
 #define EJECT_MAX_US (8 * MH_US_PER_S)
 #define SLOW_FACTOR 4.0 /* times the pool's median */
 #define SLOW_FLOOR_US 2000.0
-#define NEW_US (3 * MH_US_PER_S) /* slow start of a newcomer */
+#define NEW_US (3 * MH_US_PER_S) /* slow start of a new endpoint */
 #define NEW_FACTOR 2.0
 #define LOAD_FRESH_US (500 * MH_US_PER_MS)
 #define AFFINITY_BOUND 1.25
 #define AFFINITY_SLACK 2.0
-#define FAR_FACTOR 1.05 /* another failure domain costs a hop */
+#define OTHER_DOMAIN_FACTOR 1.05 /* for the longer network path */
 
-/* An entry that has just started knows no endpoint for longer. */
-#define FOUND_US (5 * MH_US_PER_S)
+/*
+ * An endpoint that came up within this time after the start of this entry is
+ * not taken as cold: the entry may only have discovered it then.
+ */
+#define DISCOVERY_US (5 * MH_US_PER_S)
 
 struct route {
 	struct mh_kern *k;
 	int64_t started_us;
 	char *domain;
-	GHashTable *turns; /* pool -> next turn of round robin */
+	GHashTable *next; /* pool -> next position of round robin */
 };
 
-/* Calls at the endpoint as far as this process can tell. */
+/* Estimate of the calls at the endpoint. */
 static double
 busy(struct mh_kern *k, const struct mh_peer *p)
 {
 	double reported = (double)p->load_running + (double)p->load_queued;
 	double since = (double)p->own - (double)p->load_own;
 
-	/* An old report is worth less than the local exact count. */
+	/* An old report is worse than the exact count of our own calls. */
 	if (p->load_at_us == 0 || mh_now(k) - p->load_at_us > LOAD_FRESH_US)
 		return (double)p->own;
 	return MAX(reported + since, (double)p->own);
@@ -61,14 +65,14 @@
 	double s = (fill(r->k, p) + 0.1) * MAX(p->ewma_us, 1.0);
 
 	if (strcmp(p->domain, r->domain) != 0)
-		s *= FAR_FACTOR;
+		s *= OTHER_DOMAIN_FACTOR;
 	if (mh_now(r->k) - p->up_since_us < NEW_US)
 		s *= NEW_FACTOR;
 	return s;
 }
 
 static bool
-skip(const struct mh_peer *p, const struct mh_pick *q)
+is_avoided(const struct mh_peer *p, const struct mh_pick *q)
 {
 	return q->avoid_vm != NULL && strcmp(p->vm, q->avoid_vm) == 0;
 }
@@ -78,41 +82,42 @@
     const struct route *r, const struct mh_pool *pool, const struct mh_peer *p)
 {
 	return pool != NULL && pool->cold_per_s > 0 &&
-	    p->up_since_us - r->started_us > FOUND_US &&
+	    p->up_since_us - r->started_us > DISCOVERY_US &&
 	    mh_now(r->k) - p->up_since_us < pool->warmup_us;
 }
 
-/* Whether a cold endpoint bears one more call of ours now; see turn.c. */
+/* Whether we may send a call to the endpoint now, cold or not. */
 static bool
-has_turn(
+has_slot(
     const struct route *r, const struct mh_pool *pool, const struct mh_peer *p)
 {
-	struct mh_turn t = { 0 };
-	int64_t each_us;
+	struct mh_cold_slot t = { 0 };
+	int64_t interval_us;
 
 	if (!is_cold(r, pool, p))
 		return true;
 	t.per_s = pool->cold_per_s;
-	t.before = mh_roster_rank(r->k, p->vm, &t.entries);
-	each_us = mh_turn_us(&t);
-	return each_us > 0 &&
-	    (p->sent_us == 0 || mh_now(r->k) - p->sent_us >= each_us);
+	t.rank = mh_roster_rank(r->k, p->vm, &t.entries);
+	interval_us = mh_cold_slot_us(&t);
+	return interval_us > 0 &&
+	    (p->sent_us == 0 || mh_now(r->k) - p->sent_us >= interval_us);
 }
 
 static void
-collect(struct route *r, const struct mh_pick *q, GPtrArray *out, bool all)
+collect(
+    struct route *r, const struct mh_pick *q, GPtrArray *out, bool with_ejected)
 {
 	GPtrArray *pool = mh_member_pool(r->k, q->pool);
 	int64_t now = mh_now(r->k);
-	const struct mh_pool *of = mh_decl_pool(mh_conf_get(r->k), q->pool);
+	const struct mh_pool *decl = mh_decl_pool(mh_conf_get(r->k), q->pool);
 
 	for (guint i = 0; i < pool->len; i++) {
 		struct mh_peer *p = pool->pdata[i];
 
-		if (!mh_member_usable(r->k, p) || skip(p, q) ||
-		    !has_turn(r, of, p))
+		if (!mh_member_usable(r->k, p) || is_avoided(p, q) ||
+		    !has_slot(r, decl, p))
 			continue;
-		if (all || p->eject_until_us <= now)
+		if (with_ejected || p->eject_until_us <= now)
 			g_ptr_array_add(out, p);
 	}
 }
@@ -131,28 +136,28 @@
 static struct mh_peer *
 round_robin(struct route *r, const struct mh_pick *q, GPtrArray *c)
 {
-	guint turn = GPOINTER_TO_UINT(g_hash_table_lookup(r->turns, q->pool));
+	guint next = GPOINTER_TO_UINT(g_hash_table_lookup(r->next, q->pool));
 
 	g_hash_table_replace(
-	    r->turns, g_strdup(q->pool), GUINT_TO_POINTER(turn + 1));
-	return c->pdata[turn % c->len];
+	    r->next, g_strdup(q->pool), GUINT_TO_POINTER(next + 1));
+	return c->pdata[next % c->len];
 }
 
-/* The first endpoint in the own order of @what that is not busier than that. */
+/* The first endpoint in the rendezvous order of @key with few enough calls. */
 static struct mh_peer *
 by_rendezvous(
-    const struct route *r, uint64_t what, const GPtrArray *c, double busy_most)
+    const struct route *r, uint64_t key, const GPtrArray *c, double busy_max)
 {
 	struct mh_peer *best = NULL;
 	char text[24];
 	uint64_t weight = 0;
 
-	snprintf(text, sizeof(text), "%" PRIx64, what);
+	snprintf(text, sizeof(text), "%" PRIx64, key);
 	for (guint i = 0; i < c->len; i++) {
 		struct mh_peer *p = c->pdata[i];
 		uint64_t w = mh_rendezvous(text, p->vm);
 
-		if (busy(r->k, p) > busy_most || (best != NULL && w <= weight))
+		if (busy(r->k, p) > busy_max || (best != NULL && w <= weight))
 			continue;
 		best = p;
 		weight = w;
@@ -161,9 +166,10 @@
 }
 
 /*
- * Rendezvous hashing with bounded loads: the first endpoint in the prefix's
- * own order that is not much busier than the rest.  An overflow thus goes to
- * the same second endpoint each time and finds its cache warm as well.
+ * Rendezvous hashing with bounded loads: the first endpoint in the order of
+ * the prefix that is not much busier than the average.  Calls beyond that
+ * bound always overflow to the same second endpoint, whose cache then has the
+ * prefix as well.
  */
 static struct mh_peer *
 by_affinity(struct route *r, const struct mh_pick *q, GPtrArray *c)
@@ -206,8 +212,9 @@
 	collect(r, q, c, pol->routing == MH_ROUTE_ROUND_ROBIN);
 	if (c->len == 0)
 		collect(r, q, c, true);
-	if (c->len > 0 && q->apart != 0) /* the same at every entry */
-		p = by_rendezvous(r, q->apart, c, INFINITY);
+	/* All entries choose the same endpoint for an isolated request. */
+	if (c->len > 0 && q->isolation_hash != 0)
+		p = by_rendezvous(r, q->isolation_hash, c, INFINITY);
 	else if (c->len > 0 && pol->routing == MH_ROUTE_ROUND_ROBIN)
 		p = round_robin(r, q, c);
 	if (c->len > 0 && p == NULL && q->affinity != 0 && pol->affinity)
@@ -271,8 +278,8 @@
 }
 
 /*
- * The floor: with a third of the pool ejected already, more ejections would
- * push the work onto too few, which then look slow in their turn.
+ * Never ejects more than a third of the pool: more ejections would leave the
+ * work to too few endpoints, which would then look slow as well.
  */
 static void
 eject(struct mh_kern *k, struct mh_peer *p, guint usable, guint ejected)
@@ -308,7 +315,7 @@
 	    (endpoint_us > 0 &&
 		p->ewma_us > SLOW_FACTOR * median + SLOW_FLOOR_US)) {
 		eject(k, p, usable, ejected);
-		/* Let it prove itself when it comes back. */
+		/* Otherwise its old average would eject it again at once. */
 		if (p->eject_until_us > mh_now(k))
 			p->ewma_us = MIN(p->ewma_us, SLOW_FACTOR * median);
 	} else if (good) {
@@ -352,7 +359,7 @@
 {
 	struct route *r = self;
 
-	g_hash_table_destroy(r->turns);
+	g_hash_table_destroy(r->next);
 	g_free(r->domain);
 	g_free(r);
 }
@@ -365,6 +372,6 @@
 	r->k = k;
 	r->started_us = mh_now(k);
 	r->domain = g_strdup(domain);
-	r->turns = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
+	r->next = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
 	mh_kern_add(k, "route", r, NULL, destroy);
 }
--- a/lib/suspect.c
+++ b/lib/suspect.c
@@ -1,23 +1,24 @@
 /**
- * DOC: Endpoints that several entries could not reach.
+ * DOC: Ejects endpoints that several entries could not reach.
  *
- * A replica goes dark and each of many entries finds out by a connection that
- * hangs.  So entries report what they could not reach to the home of stage
- * work, which tells all as soon as two reports agree.
+ * When an endpoint becomes unreachable, each entry would otherwise find out by
+ * a connection of its own that hangs.  Entries report an endpoint that they
+ * could not reach to the coordinator of stage work, which announces it to all
+ * entries after two reports.
  */
 
 #include "mesh.h"
 
 #include <string.h>
 
-/* Reports that far apart say nothing together. */
-#define AGREE_US (1 * MH_US_PER_S)
+/* Reports further apart than this do not confirm each other. */
+#define AGREE_WINDOW_US (1 * MH_US_PER_S)
 #define AGREE_REPORTS 2
-/* Rows are dropped at this number; endpoints are a few thousand at most. */
-#define MAX_ROWS 4096
+/* The table is emptied at this size; there are a few thousand endpoints. */
+#define MAX_SUSPECTS 4096
 
-struct row {
-	int64_t first_us;
+struct suspect {
+	int64_t first_us; /* of the reports that count */
 	uint32_t reports;
 };
 
@@ -25,67 +26,71 @@
 	struct mh_kern *k;
 	struct mh_mesh *m;
 	struct mh_fleet *f;
-	GHashTable *rows; /* endpoint -> struct row */
+	GHashTable *suspects; /* endpoint -> struct suspect */
 };
 
 static void
-leave_out(struct mh_suspects *s, const char *endpoint)
+eject(struct mh_suspects *s, const char *endpoint)
 {
 	struct mh_node *n = mh_fleet_find(s->f, endpoint);
 
 	if (n != NULL)
-		mh_node_out(s->f, n, "others-agree");
+		mh_node_eject(s->f, n, "others-agree");
 }
 
 static void
-send_suspect(struct mh_suspects *s, const char *home, const char *endpoint)
+send_suspect(
+    struct mh_suspects *s, const char *coordinator, const char *endpoint)
 {
 	Mh__Frame f = MH__FRAME__INIT;
 	Mh__Suspect m = MH__SUSPECT__INIT;
 
 	m.endpoint = (char *)(uintptr_t)endpoint;
-	m.agreed = home == NULL;
+	m.agreed = coordinator == NULL;
 	f.body_case = MH__FRAME__BODY_SUSPECT;
 	f.suspect = &m;
-	if (home == NULL)
+	if (coordinator == NULL)
 		mh_mesh_send_all(s->m, &f);
 	else
-		mh_mesh_send(s->m, home, &f);
+		mh_mesh_send(s->m, coordinator, &f);
 }
 
-/* As the home: two reports within a second, by whomever. */
+/*
+ * At the coordinator: counts a report.  Two within AGREE_WINDOW_US are enough,
+ * even from the same entry.
+ */
 static void
-count(struct mh_suspects *s, const char *endpoint)
+count_report(struct mh_suspects *s, const char *endpoint)
 {
-	struct row *r = g_hash_table_lookup(s->rows, endpoint);
+	struct suspect *r = g_hash_table_lookup(s->suspects, endpoint);
 	int64_t now = mh_now(s->k);
 
 	if (r == NULL) {
-		if (g_hash_table_size(s->rows) >= MAX_ROWS)
-			g_hash_table_remove_all(s->rows);
-		r = g_new0(struct row, 1);
-		g_hash_table_insert(s->rows, g_strdup(endpoint), r);
+		if (g_hash_table_size(s->suspects) >= MAX_SUSPECTS)
+			g_hash_table_remove_all(s->suspects);
+		r = g_new0(struct suspect, 1);
+		g_hash_table_insert(s->suspects, g_strdup(endpoint), r);
 	}
-	if (r->reports == 0 || now - r->first_us > AGREE_US) {
+	if (r->reports == 0 || now - r->first_us > AGREE_WINDOW_US) {
 		r->first_us = now;
 		r->reports = 0;
 	}
 	if (++r->reports != AGREE_REPORTS)
 		return;
 	mh_count(s->k, "suspects_agreed", 1);
-	leave_out(s, endpoint);
+	eject(s, endpoint);
 	send_suspect(s, NULL, endpoint);
 }
 
 void
 mh_suspects_report(struct mh_suspects *s, const char *endpoint)
 {
-	const char *home = mh_mesh_home(s->m, MH_STAGE_WORK);
+	const char *coordinator = mh_mesh_home(s->m, MH_STAGE_WORK);
 
-	if (mh_mesh_is_self(s->m, home))
-		count(s, endpoint);
+	if (mh_mesh_is_self(s->m, coordinator))
+		count_report(s, endpoint);
 	else
-		send_suspect(s, home, endpoint);
+		send_suspect(s, coordinator, endpoint);
 }
 
 static void
@@ -95,9 +100,9 @@
 
 	(void)node;
 	if (f->suspect->agreed)
-		leave_out(s, f->suspect->endpoint);
+		eject(s, f->suspect->endpoint);
 	else
-		count(s, f->suspect->endpoint);
+		count_report(s, f->suspect->endpoint);
 }
 
 struct mh_suspects *
@@ -108,7 +113,7 @@
 	s->k = k;
 	s->m = m;
 	s->f = f;
-	s->rows =
+	s->suspects =
 	    g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 	mh_mesh_on(m, MH__FRAME__BODY_SUSPECT, on_suspect, s);
 	return s;
@@ -119,6 +124,6 @@
 {
 	if (s == NULL)
 		return;
-	g_hash_table_destroy(s->rows);
+	g_hash_table_destroy(s->suspects);
 	g_free(s);
 }
--- a/regress/t_cold.c
+++ b/regress/t_cold.c
@@ -1,6 +1,6 @@
 /**
- * DOC: Endpoints that get nothing, of an evacuated failure domain, or little,
- * cold ones.
+ * DOC: Endpoints of evacuated failure domains, which receive nothing, and cold
+ * endpoints, which receive few requests.
  */
 
 #include "gaterig.h"
@@ -29,7 +29,7 @@
 	mh_fleet_end(f);
 }
 
-/* Guards against requests for endpoints of an evacuated failure domain. */
+/* Guards against requests to endpoints of an evacuated failure domain. */
 static void
 test_place_evacuated(void)
 {
@@ -54,7 +54,7 @@
 		CU_ASSERT_STRING_EQUAL(n->id, "b");
 		CU_ASSERT_STRING_EQUAL(n->domain, "d1");
 	}
-	/* Where nothing else is left, and one that is listed only then. */
+	/* Even if all are evacuated, and for endpoints listed afterwards. */
 	mh_fleet_evacuate(f, both);
 	list_two(f, 0);
 	for (int i = 0; i < 2; i++) {
@@ -76,7 +76,7 @@
 	mh_kern_destroy(k);
 }
 
-/* Guards against second tries, and runs that go on, in an evacuated domain. */
+/* Guards against retries in an evacuated domain and against aborts there. */
 static void
 test_gate_evacuated(void)
 {
@@ -90,7 +90,7 @@
 		(void)grig_ask(r, targets[i], 5 * S);
 		CU_ASSERT_EQUAL(r->sends, 1);
 		mh_fleet_evacuate(r->f, d);
-		/* What runs there goes on. */
+		/* Running requests continue. */
 		CU_ASSERT_EQUAL(r->aborts, 0);
 		grig_answer(r, 503, true, false);
 		CU_ASSERT_EQUAL(r->sends, 1);
@@ -115,7 +115,7 @@
 	return n;
 }
 
-/* Guards against pieces for an evacuated domain, those that waited too. */
+/* Guards against pieces, new or queued ones, for an evacuated domain. */
 static void
 test_cell_evacuated(void)
 {
@@ -153,23 +153,23 @@
 /* cold endpoints */
 
 #define PER_S 8.0
-/* What a cold endpoint may get in any second, with what was on its way. */
+/* Requests that a cold endpoint may get in any second, with those in flight. */
 #define BOUND 17
 
-/** struct one - an entry that places requests. */
-struct one {
+/** struct cold_entry - an entry that places requests. */
+struct cold_entry {
 	struct mh_kern *k;
 	struct mh_fleet *f;
 	struct mh_place *p;
 	struct mh_mesh *m;
 };
 
-/** struct many - entries before the same endpoints. */
-struct many {
-	struct one *e;
+/** struct cold_world - entries that use the same endpoints. */
+struct cold_world {
+	struct cold_entry *e;
 	uint32_t n;
 	struct mh_gconf *conf;
-	GArray *sent; /* int64_t, when to the cold one */
+	GArray *sent; /* int64_t, times of requests to the cold endpoint */
 	uint32_t others; /* requests elsewhere */
 	uint32_t waited;
 	uint32_t refused;
@@ -178,12 +178,12 @@
 static uint32_t
 rank_of(void *arg, const char *endpoint, uint32_t *entries)
 {
-	return mh_mesh_rank(((struct one *)arg)->m, endpoint, entries);
+	return mh_mesh_rank(((struct cold_entry *)arg)->m, endpoint, entries);
 }
 
-/* Entry @i knows the others, but for each third where @partly. */
+/* Entry @i has the list of the others, without each third if @partly. */
 static void
-know_others(struct many *m, uint32_t i, bool partly)
+list_entries(struct cold_world *m, uint32_t i, bool partly)
 {
 	GPtrArray *list = g_ptr_array_new();
 	struct mh_member *all = g_new0(struct mh_member, m->n);
@@ -204,14 +204,14 @@
 	g_ptr_array_free(list, TRUE);
 }
 
-static struct many *
-many_create(uint32_t n, int64_t warm_us, bool partly)
+static struct cold_world *
+cold_world_create(uint32_t n, int64_t warm_us, bool partly)
 {
-	struct many *m = g_new0(struct many, 1);
+	struct cold_world *m = g_new0(struct cold_world, 1);
 	struct mh_gpool *p = g_new0(struct mh_gpool, 1);
 
 	m->n = n;
-	m->e = g_new0(struct one, n);
+	m->e = g_new0(struct cold_entry, n);
 	m->sent = g_array_new(FALSE, FALSE, sizeof(int64_t));
 	m->conf = mh_gconf_create();
 	p->name = g_strdup("pool");
@@ -219,7 +219,7 @@
 	p->cold_per_s = PER_S;
 	g_hash_table_insert(m->conf->pools, p->name, p);
 	for (uint32_t i = 0; i < n; i++) {
-		struct one *e = &m->e[i];
+		struct cold_entry *e = &m->e[i];
 		char node[16];
 
 		g_snprintf(node, sizeof(node), "e%u", i);
@@ -230,14 +230,14 @@
 		e->m = mh_mesh_create(e->k, node, 1);
 		mh_fleet_conf(e->f, m->conf);
 		mh_place_on_rank(e->p, rank_of, e);
-		know_others(m, i, partly);
+		list_entries(m, i, partly);
 		list_two(e->f, warm_us);
 	}
 	return m;
 }
 
 static void
-many_destroy(struct many *m)
+cold_world_destroy(struct cold_world *m)
 {
 	for (uint32_t i = 0; i < m->n; i++) {
 		mh_place_destroy(m->e[i].p);
@@ -251,7 +251,8 @@
 }
 
 static void
-place_one(struct many *m, struct one *e, int64_t now, uint64_t part)
+place_one(
+    struct cold_world *m, struct cold_entry *e, int64_t now, uint64_t part)
 {
 	struct mh_place_ask a = { .pool = "pool",
 		.parts = { { part, 6000 }, { 3, 100 } },
@@ -263,7 +264,7 @@
 	if (n == NULL) {
 		m->waited += a.wait_us > 0 && now + a.wait_us <= a.wait_by_us;
 		m->refused++;
-		/* One that waits goes when its turn comes. */
+		/* A waiting request is sent in its time slot. */
 		if (a.turn_at != NULL) {
 			int64_t at = now + a.wait_us;
 
@@ -278,9 +279,9 @@
 		m->others++;
 }
 
-/* @per_s requests a second, each of @parts in turn, for @us. */
+/* Places @per_s requests a second for @us; prompts rotate over @parts. */
 static void
-many_run(struct many *m, uint32_t per_s, uint64_t parts, int64_t us)
+cold_world_run(struct cold_world *m, uint32_t per_s, uint64_t parts, int64_t us)
 {
 	GRand *rand = g_rand_new_with_seed(5);
 	int64_t each = S / per_s;
@@ -303,9 +304,9 @@
 	return x < y ? -1 : x > y;
 }
 
-/* The most requests that went there within a second. */
+/* The largest number of requests to the cold endpoint within a second. */
 static uint32_t
-most_in_a_second(const struct many *m)
+most_in_a_second(const struct cold_world *m)
 {
 	uint32_t most = 0;
 
@@ -321,18 +322,19 @@
 }
 
 /*
- * A new endpoint looks empty to each of hundreds of entries; a hot prompt draws
- * to it; it is all there is.  Cold, it bears a few requests a second, of all
- * entries, whether or not they know of each other.
+ * Guards against overload of a cold endpoint, which takes only a few requests a
+ * second from all entries together.  It looks idle to each of hundreds of
+ * entries, may have the affinity of a hot prompt, may be the only endpoint, and
+ * entries may have incomplete lists of each other.
  */
 static void
 test_cold_bound(void)
 {
 	static const struct {
 		uint32_t entries;
-		uint64_t prompts; /* 1: a hot one */
+		uint64_t prompts; /* 1: a single hot prompt */
 		bool alone; /* the other endpoint is evacuated */
-		bool partly; /* entries know two thirds of the others */
+		bool partly; /* each entry lists two thirds of the others */
 	} t[] = {
 		{ 1, 40, false, false },
 		{ 4, 1, true, false },
@@ -346,7 +348,8 @@
 	};
 
 	for (size_t i = 0; i < G_N_ELEMENTS(t); i++) {
-		struct many *m = many_create(t[i].entries, 3 * S, t[i].partly);
+		struct cold_world *m =
+		    cold_world_create(t[i].entries, 3 * S, t[i].partly);
 		uint32_t most;
 
 		for (uint32_t j = 0; t[i].alone && j < m->n; j++) {
@@ -354,17 +357,17 @@
 
 			mh_fleet_evacuate(m->e[j].f, d1);
 		}
-		many_run(m, 200, t[i].prompts, 2900 * MS);
+		cold_world_run(m, 200, t[i].prompts, 2900 * MS);
 		most = most_in_a_second(m);
 		if (most > BOUND)
 			fprintf(stderr, "row %zu: %u in a second\n", i, most);
 		CU_ASSERT(most <= BOUND);
 		CU_ASSERT(m->sent->len >= 3);
-		many_destroy(m);
+		cold_world_destroy(m);
 	}
 }
 
-/* Guards against a process that knows of no other and takes all for its own. */
+/* Guards against an entry without a list that takes all slots for its own. */
 static void
 test_cold_before_the_list(void)
 {
@@ -377,10 +380,10 @@
 }
 
 static void
-test_turns(void)
+test_slots(void)
 {
 	static const struct {
-		struct mh_turn t;
+		struct mh_cold_slot t;
 		int64_t us;
 	} t[] = {
 		{ { 8, 1, 0 }, S / 8 },
@@ -396,15 +399,14 @@
 	};
 
 	for (size_t i = 0; i < G_N_ELEMENTS(t); i++)
-		CU_ASSERT_EQUAL(mh_turn_us(&t[i].t), t[i].us);
+		CU_ASSERT_EQUAL(mh_cold_slot_us(&t[i].t), t[i].us);
 }
 
-/* Guards against what an evacuated endpoint gets all at once when taken back.
- */
+/* Guards against overload of an endpoint right after its evacuation ends. */
 static void
-test_taken_back_cold(void)
+test_cold_after_evacuation(void)
 {
-	struct many *m = many_create(1, 0, false);
+	struct cold_world *m = cold_world_create(1, 0, false);
 	struct mh_fleet *f = m->e[0].f;
 	struct mh_node *n = mh_fleet_find(f, "a");
 
@@ -412,43 +414,43 @@
 	mh_fleet_evacuate(f, first);
 	mh_fleet_evacuate(f, none);
 	CU_ASSERT(mh_node_cold(f, n));
-	/* Its row, and its answers, may be from before. */
+	/* Its row and its answers may date from before the evacuation. */
 	list_two(f, 0);
 	mh_node_warm(f, n, 0);
 	CU_ASSERT(mh_node_cold(f, n));
 	mh_kern_advance(m->e[0].k, 4 * S + 1, 4 * S + 1);
 	CU_ASSERT_FALSE(mh_node_cold(f, n));
-	many_destroy(m);
+	cold_world_destroy(m);
 }
 
-/* The newest word counts: of the row, or of the endpoint's own answers. */
+/* The newest report counts: a registry row or an answer of the endpoint. */
 static void
-test_newest_word(void)
+test_newest_report(void)
 {
-	struct many *m = many_create(1, 2 * S, false);
+	struct cold_world *m = cold_world_create(1, 2 * S, false);
 	struct mh_kern *k = m->e[0].k;
 	struct mh_fleet *f = m->e[0].f;
 	struct mh_node *n = mh_fleet_find(f, "a");
 
 	CU_ASSERT(mh_node_cold(f, n));
-	mh_node_warm(f, n, 0); /* it says so */
+	mh_node_warm(f, n, 0); /* reported in an answer */
 	CU_ASSERT_FALSE(mh_node_cold(f, n));
 	mh_kern_advance(k, S + 500 * MS, S + 500 * MS);
-	list_two(f, 1500 * MS); /* the same row once more */
+	list_two(f, 1500 * MS); /* the same row again */
 	CU_ASSERT_FALSE(mh_node_cold(f, n));
-	list_two(f, 3 * S); /* a new one: cold again */
+	list_two(f, 3 * S); /* a new row: cold again */
 	CU_ASSERT(mh_node_cold(f, n));
 	mh_kern_advance(k, 3 * S, 3 * S);
 	mh_node_warm(f, n, 5 * S);
 	list_two(f, 1500 * MS);
 	mh_kern_advance(k, 7 * S, 7 * S);
 	CU_ASSERT(mh_node_cold(f, n));
-	many_destroy(m);
+	cold_world_destroy(m);
 }
 
-/* A cold endpoint is all there is: who comes in time waits for its turn. */
+/* With only a cold endpoint, requests wait for a slot within their SLO. */
 static void
-test_waits_for_turn(void)
+test_waits_for_slot(void)
 {
 	struct grig *r = grig_create(1);
 	struct mh_gpool *p = g_new0(struct mh_gpool, 1);
@@ -464,13 +466,13 @@
 	(void)grig_ask(r, "/once/x", 5 * S);
 	(void)grig_ask(r, "/once/x", 5 * S);
 	CU_ASSERT_EQUAL(r->sends, 1);
-	CU_ASSERT_EQUAL(r->refused, 1); /* its turn is past its aim */
+	CU_ASSERT_EQUAL(r->refused, 1); /* its slot would miss its SLO */
 	CU_ASSERT(r->retry_us >= S);
 	grig_pass(r, 400 * MS);
 	CU_ASSERT_EQUAL(r->sends, 1);
 	grig_pass(r, 200 * MS);
 	CU_ASSERT_EQUAL(r->sends, 2);
-	/* A caller that leaves gives its turn up. */
+	/* The slot of a caller that left is not used. */
 	mh_gate_gone(r->g, g_ptr_array_index(r->open, 2));
 	grig_pass(r, 600 * MS);
 	CU_ASSERT_EQUAL(r->sends, 2);
@@ -479,13 +481,13 @@
 
 const struct test tests_cold[] = {
 	{ "evacuated: requests", test_place_evacuated },
-	{ "evacuated: second tries", test_gate_evacuated },
+	{ "evacuated: retries", test_gate_evacuated },
 	{ "evacuated: pieces", test_cell_evacuated },
-	{ "cold: the bound of all entries", test_cold_bound },
+	{ "cold: the limit over all entries", test_cold_bound },
 	{ "cold: before the list of entries", test_cold_before_the_list },
-	{ "cold: turns", test_turns },
-	{ "cold: taken back", test_taken_back_cold },
-	{ "cold: the newest word", test_newest_word },
-	{ "cold: a turn is waited for", test_waits_for_turn },
+	{ "cold: time slots", test_slots },
+	{ "cold: after an evacuation", test_cold_after_evacuation },
+	{ "cold: the newest report", test_newest_report },
+	{ "cold: a request waits for its slot", test_waits_for_slot },
 	{ NULL, NULL },
 };
--- a/regress/t_drain.c
+++ b/regress/t_drain.c
@@ -1,6 +1,6 @@
 /**
- * DOC: A process's own end: what its callers and peers get for what it still
- * holds when it stops.
+ * DOC: The shutdown of a process: what its callers and peers get for the calls,
+ * requests and partitions that it still has.
  */
 
 #include "child.h"
@@ -18,7 +18,7 @@
 #include <sys/wait.h>
 #include <unistd.h>
 
-#define CHECK_US (50 * MH_US_PER_MS) /* run.c looks this often */
+#define CHECK_US (50 * MH_US_PER_MS) /* the interval in run.c */
 #define SIDE_LINGER_US (500 * MH_US_PER_MS) /* as in marlsided.c */
 #define GRACE_US (30 * MH_US_PER_S) /* the default */
 #define SLOW_US (40 * MH_US_PER_S) /* a call that outlasts the drain */
@@ -29,9 +29,9 @@
 	struct net_node *e[2];
 };
 
-/* Every class and stage may take a minute: longer than a drain. */
+/* A document in which every class and stage may take longer than a drain. */
 static char *
-patient_doc(void)
+long_deadline_doc(void)
 {
 	GString *s = g_string_new(net_doc);
 	char *doc;
@@ -48,7 +48,7 @@
 static void
 make(struct drain_world *w, uint32_t seed, const char *pool)
 {
-	char *doc = patient_doc();
+	char *doc = long_deadline_doc();
 
 	w->n = net_create(seed);
 	net_apply(w->n, 1, doc);
@@ -60,9 +60,9 @@
 	g_free(doc);
 }
 
-/* Drains @x as its daemon does, and ends it. */
+/* Drains @x as its daemon does, and kills it. */
 static void
-drain_to_the_end(struct net_node *x)
+drain_and_kill(struct net_node *x)
 {
 	int64_t waited = 0;
 
@@ -86,11 +86,10 @@
 }
 
 /*
- * While the KV service is out a side process can't hand its partitions over
- * and ends after 30 s, with one booking at the service and one in its queue.
- * The callers waited for their whole minute and were told "unknown", both,
- * though the second had never left the queue: its parent may not book again.
- * The end was bounded, and the calls that it held were not.
+ * While the KV service is down a side process can't hand over its partitions
+ * and exits after 30 s with one at-most-once call running and one queued.
+ * Guards against callers that wait beyond the exit, and against the outcome
+ * "unknown" for the queued call, which did not run and may be retried.
  */
 static void
 test_side_ends_with_bookings(void)
@@ -104,7 +103,7 @@
 	runs = confirm(&w, 0, "k1");
 	same = confirm(&w, 1, "k1");
 	queued = confirm(&w, 0, "k2");
-	drain_to_the_end(w.side);
+	drain_and_kill(w.side);
 	end = net_now(w.n);
 	net_run(w.n, SLOW_US);
 	CU_ASSERT_STRING_EQUAL(
@@ -121,8 +120,8 @@
 }
 
 /*
- * The same with work that may be repeated: the request in the queue never
- * ran and was told "failed", as if an endpoint had spent time on it.
+ * The same with repeatable calls: guards against the outcome "failed" for the
+ * queued call, which did not run.
  */
 static void
 test_side_ends_with_work(void)
@@ -137,7 +136,7 @@
 	net_run(w.n, 100 * MH_US_PER_MS);
 	queued = net_request(w.e[0], &a);
 	net_run(w.n, 100 * MH_US_PER_MS);
-	drain_to_the_end(w.side);
+	drain_and_kill(w.side);
 	end = net_now(w.n);
 	net_run(w.n, SLOW_US);
 	CU_ASSERT_STRING_EQUAL(net_answer_text(w.n, runs, "outcome"), "failed");
@@ -150,10 +149,9 @@
 }
 
 /*
- * A page asks what became of its booking, and the owner of the key is slow to
- * say.  The entry had no other request, so it counted as idle and left: the
- * page's connection closed without a word.  Questions about outcomes were
- * kept in a table that the drain did not look at.
+ * Guards against an entry that exits with a lookup of an outcome open, because
+ * the drain counts requests only: the caller's connection would close without
+ * an answer.  The owner of the key is slow here.
  */
 static void
 test_entry_waits_for_a_lookup(void)
@@ -195,10 +193,9 @@
 }
 
 /*
- * An operator has an engine load a model, and its side process gets SIGTERM
- * meanwhile.  It left after half a second, marlctl saw a closed link, and
- * whether the model was loaded nobody knew.  Orders are not calls, and only
- * calls kept the process.
+ * Guards against a side process that exits while its engine executes an
+ * operator's order, because the drain counts calls only: marlctl would not
+ * learn the result.
  */
 static void
 test_side_waits_for_an_order(void)
@@ -217,14 +214,13 @@
 }
 
 /*
- * A side process leaves just after two others came, and the KV service is
- * slow.  It hands a booking's memory to one of them, which gets SIGTERM before
- * the KV service tells it that it is the owner.  It owned nothing as far as it
- * knew, and left; a page that asked about its confirmed booking again was told
- * "unknown".
+ * A draining side process hands over a partition to a new one, which gets
+ * SIGTERM before the slow KV service has confirmed its ownership.  Guards
+ * against the new process exiting with the ledger it received because it owns
+ * nothing yet: a retry of a confirmed call would get "unknown".
  */
 static void
-test_side_waits_for_a_hand_over(void)
+test_side_waits_for_a_handover(void)
 {
 	struct net_ask a = { .path = "/v1/pipelines/confirm", .once = "k1" };
 	uint32_t p = mh_partition_of("acme/k1");
@@ -255,7 +251,7 @@
 	    : next[1];
 	CU_ASSERT_FALSE(mh_claim_open(to->k, p));
 	CU_ASSERT(mh_counter(to->k, "claim_received") > 0);
-	drain_to_the_end(to);
+	drain_and_kill(to);
 	net_run(n, 10 * MH_US_PER_S);
 	id = net_request(e, &a);
 	net_run(n, 3 * MH_US_PER_S);
@@ -264,11 +260,11 @@
 	net_destroy(n);
 }
 
-/* a daemon of its own, in a child process over real sockets */
+/* a daemon in a child process, over real sockets */
 
 #define ANSWER_BYTES (16U << 20) /* more than socket buffers hold */
 #define LINGER_US (100 * MH_US_PER_MS)
-#define DRAINED_MS 1000 /* by then an idle daemon has left */
+#define DRAINED_MS 1000 /* an idle daemon has exited by then */
 
 static void
 on_http(void *arg, struct mh_http_req *r)
@@ -298,7 +294,7 @@
 	mh_httpd_stop(d->httpd);
 }
 
-/* Each request is answered as soon as it is there. */
+/* Idle at any time: each request is answered at once. */
 static bool
 d_idle(struct mh_daemon *d)
 {
@@ -306,7 +302,7 @@
 	return true;
 }
 
-/* A request is never answered. */
+/* Never idle: a request is never answered. */
 static bool
 d_busy(struct mh_daemon *d)
 {
@@ -340,7 +336,7 @@
 	return run(d_busy, argc, argv);
 }
 
-/* SIGTERM, and as long as an idle daemon needs to leave. */
+/* Sends SIGTERM and waits as long as an idle daemon needs to exit. */
 static void
 child_drain(struct child *c)
 {
@@ -348,7 +344,7 @@
 	poll(NULL, 0, DRAINED_MS);
 }
 
-/* The whole answer came, and the daemon leaves by itself. */
+/* Checks that the whole answer comes and that the daemon exits by itself. */
 static void
 child_check(struct child *c)
 {
@@ -376,9 +372,8 @@
 #define END "Host: h\r\nConnection: close\r\n\r\n"
 
 /*
- * A parent on a slow line gets a long plan while the entry leaves.  The
- * request had its answer, so it no longer kept the process, which closed the
- * connection in the middle of the plan: bytes not yet sent were nobody's.
+ * Guards against a daemon that exits in the middle of a long answer on a slow
+ * connection, because an answered request no longer counts as open.
  */
 static void
 test_answer_on_a_slow_line(void)
@@ -393,9 +388,9 @@
 }
 
 /*
- * A request's header is there and its body still on the way when the entry
- * gets SIGTERM.  Nobody had been told of the request yet, so the entry left,
- * and the caller's connection closed without a status.
+ * Guards against a daemon that exits between the header and the body of a
+ * request, because the request is not reported to its handler yet: the
+ * connection would close without a status.
  */
 static void
 test_request_half_sent(void)
@@ -414,13 +409,13 @@
 	child_check(&c);
 }
 
-#define KILL_S "2" /* as its supervisor has it */
+#define KILL_S "2" /* seconds, as the supervisor sets it */
 #define KILL_MS 2000
 
 /*
- * A supervisor waits two seconds between SIGTERM and SIGKILL, and the daemon
- * was never told.  With work that did not end it stayed until the kill; with
- * an answer that its caller did not read it stayed for ten seconds.
+ * Guards against a daemon that is still running when its supervisor sends
+ * SIGKILL, two seconds after SIGTERM, because a request does not end or a
+ * caller does not read its answer.
  */
 static void
 test_daemon_ends_before_its_kill(void)
@@ -437,18 +432,18 @@
 	CU_ASSERT_TRUE(child_leaves(&unread, KILL_MS));
 }
 
-#define WAITING 40 /* connections that nobody accepted yet */
+#define WAITING 40 /* connections not yet accepted */
 
-/** struct port - a server in this process, and its callers. */
+/** struct port - an HTTP server in this process and its clients. */
 struct port {
 	struct mh_kern *k;
 	struct mh_loop *loop;
 	struct mh_httpd *h;
-	struct mh_timer *late;
+	struct mh_timer *timeout;
 	int fd[WAITING];
 	uint32_t answered;
 	uint32_t closed;
-	uint32_t taken;
+	uint32_t taken; /* requests given to the handler */
 };
 
 static void
@@ -488,19 +483,19 @@
 }
 
 static void
-on_late(void *arg)
+on_timeout(void *arg)
 {
 	struct port *p = arg;
 
-	p->late = NULL;
+	p->timeout = NULL;
 	mh_loop_stop(p->loop);
 }
 
 /*
- * A balancer opens connections and sends in the same moment in which the
- * entry gets SIGTERM.  The kernel had taken them, the server had not yet, and
- * closing the listening socket reset them all: whether they ran, the balancer
- * can't tell.
+ * Connections in the backlog of the listening socket, with requests sent, when
+ * the server stops.  Guards against closing that socket before they are
+ * accepted: the kernel resets them, and a load balancer can't tell whether the
+ * requests ran.
  */
 static void
 test_connections_not_yet_accepted(void)
@@ -520,17 +515,18 @@
 		mh_loop_fd(p.loop, p.fd[i], true, false, on_answer, &p);
 	}
 	mh_httpd_stop(p.h);
-	p.late = mh_timer_start(p.k, CHILD_MS * MH_US_PER_MS, on_late, &p);
+	p.timeout =
+	    mh_timer_start(p.k, CHILD_MS * MH_US_PER_MS, on_timeout, &p);
 	mh_loop_run(p.loop);
 	CU_ASSERT_EQUAL(p.closed, WAITING);
 	CU_ASSERT_EQUAL(p.answered, WAITING);
-	mh_timer_stop(p.k, &p.late);
+	mh_timer_stop(p.k, &p.timeout);
 	mh_httpd_destroy(p.h);
 	mh_kern_destroy(p.k);
 	mh_loop_destroy(p.loop);
 }
 
-/* Takes a request that nobody will answer any more. */
+/* Takes a request and never answers it. */
 static void
 on_taken(void *arg, struct mh_http_req *r)
 {
@@ -541,10 +537,9 @@
 }
 
 /*
- * A balancer keeps a connection to an entry, and sends its next request in
- * the turn in which the entry stops.  The server took it while it closed, the
- * service was gone by then, and a request that waited made the library abort
- * the process.
+ * A load balancer sends a request on a kept connection just when the server is
+ * destroyed.  Guards against passing it to the handler, which is destroyed by
+ * then: the HTTP library aborts the process if a request stays suspended.
  */
 static void
 test_request_at_the_close(void)
@@ -577,7 +572,7 @@
 	{ "side_ends_with_work", test_side_ends_with_work },
 	{ "entry_waits_for_a_lookup", test_entry_waits_for_a_lookup },
 	{ "side_waits_for_an_order", test_side_waits_for_an_order },
-	{ "side_waits_for_a_hand_over", test_side_waits_for_a_hand_over },
+	{ "side_waits_for_a_handover", test_side_waits_for_a_handover },
 	{ "answer_on_a_slow_line", test_answer_on_a_slow_line },
 	{ "request_half_sent", test_request_half_sent },
 	{ "daemon_ends_before_its_kill", test_daemon_ends_before_its_kill },
--- a/regress/t_evacuate.c
+++ b/regress/t_evacuate.c
@@ -1,5 +1,6 @@
 /**
- * DOC: Evacuated failure domains and cold endpoints at our own interface.
+ * DOC: Evacuated failure domains and cold endpoints in the routing of the
+ * entry's own HTTP interface.
  */
 
 #include "net.h"
@@ -13,7 +14,7 @@
 #define PEERS 4
 #define PER_S 2
 
-/** struct eworld - an entry before endpoints in two failure domains. */
+/** struct eworld - an entry with endpoints in two failure domains. */
 struct eworld {
 	struct net *n;
 	struct net_node *e;
@@ -62,7 +63,7 @@
 	return mh_route_pick(w->e->k, &q);
 }
 
-/* Guards against calls for endpoints of an evacuated failure domain. */
+/* Guards against calls to endpoints of an evacuated failure domain. */
 static void
 test_evacuated(void)
 {
@@ -87,7 +88,7 @@
 	net_destroy(w.n);
 }
 
-/* Guards against all that is due for an endpoint that has just started. */
+/* Guards against overload of an endpoint that has just started. */
 static void
 test_cold(void)
 {
@@ -120,7 +121,7 @@
 	net_destroy(w.n);
 }
 
-/* Guards against a document that says another thing than was asked for. */
+/* Guards against a document that evacuates other domains than requested. */
 static void
 test_document(void)
 {
@@ -133,16 +134,16 @@
 	for (size_t i = 0; i < G_N_ELEMENTS(befores); i++) {
 		for (size_t j = 0; j < G_N_ELEMENTS(lists); j++) {
 			char *text = doc_with(befores[i]);
-			GBytes *doc = g_bytes_new(text, strlen(text)), *made;
+			GBytes *doc = g_bytes_new(text, strlen(text)), *result;
 			GPtrArray *list = g_ptr_array_new();
 			struct mh_decl *d;
 
 			for (uint32_t n = 0; lists[j][n] != NULL; n++)
 				g_ptr_array_add(
 				    list, (char *)(uintptr_t)lists[j][n]);
-			made = mh_decl_with_evacuated(doc, list, NULL);
-			CU_ASSERT_PTR_NOT_NULL_FATAL(made);
-			d = mh_decl_read(made, NULL);
+			result = mh_decl_with_evacuated(doc, list, NULL);
+			CU_ASSERT_PTR_NOT_NULL_FATAL(result);
+			d = mh_decl_read(result, NULL);
 			CU_ASSERT_PTR_NOT_NULL(d);
 			if (d == NULL)
 				return;
@@ -153,14 +154,14 @@
 				CU_ASSERT(mh_decl_evacuated(d, list->pdata[n]));
 			mh_decl_unref(d);
 			g_ptr_array_free(list, TRUE);
-			g_bytes_unref(made);
+			g_bytes_unref(result);
 			g_bytes_unref(doc);
 			g_free(text);
 		}
 	}
 }
 
-/* Guards against names that no failure domain has. */
+/* Guards against invalid names of failure domains. */
 static void
 test_bad_domains(void)
 {
--- a/regress/t_queue.c
+++ b/regress/t_queue.c
@@ -1,5 +1,5 @@
 /**
- * DOC: The queue before an endpoint: class, fairness, deadline, bound.
+ * DOC: The queue in front of an endpoint: class, fairness, deadline, limit.
  */
 
 #include "net.h"
@@ -24,28 +24,27 @@
 test_class_then_deadline(void)
 {
 	struct mh_queue *q = mh_queue_create(8);
-	struct mh_item late = item(0, 900, "a"), soon = item(0, 100, "a"),
+	struct mh_item later = item(0, 900, "a"), soon = item(0, 100, "a"),
 		       low = item(1, 50, "a");
 
 	CU_ASSERT_PTR_NULL(mh_queue_put(q, &low));
-	CU_ASSERT_PTR_NULL(mh_queue_put(q, &late));
+	CU_ASSERT_PTR_NULL(mh_queue_put(q, &later));
 	CU_ASSERT_PTR_NULL(mh_queue_put(q, &soon));
 	CU_ASSERT_EQUAL(mh_queue_work_us(q, 0), 200);
 	CU_ASSERT_EQUAL(mh_queue_work_us(q, 1), 300);
 	CU_ASSERT_PTR_EQUAL(mh_queue_pop(q, false), &soon);
-	CU_ASSERT_PTR_EQUAL(mh_queue_pop(q, false), &late);
+	CU_ASSERT_PTR_EQUAL(mh_queue_pop(q, false), &later);
 	CU_ASSERT_PTR_NULL(mh_queue_pop(q, true));
 	CU_ASSERT_PTR_EQUAL(mh_queue_pop(q, false), &low);
 	mh_queue_destroy(q);
 }
 
 /*
- * A demand event fills every queue with drafting.  A dispatch order that
- * came then was refused as "full" while drafts held the places: the plant
- * missed its window.
+ * Guards against refusal of an urgent call because calls of a less urgent class
+ * fill the queue.
  */
 static void
-test_urgent_takes_a_waiting_place(void)
+test_urgent_evicts_lower_class(void)
 {
 	struct mh_queue *q = mh_queue_create(2);
 	struct mh_item a = item(2, 900, "a"), b = item(2, 800, "a"),
@@ -60,9 +59,8 @@
 }
 
 /*
- * One organisation sends a hundred requests, another one.  In arrival order
- * the one waits behind the hundred; with fair sharing it is served second
- * at the latest.
+ * One organisation sends a hundred requests and another one sends one, which
+ * must not wait for all of the hundred as in arrival order.
  */
 static void
 test_fair_between_organisations(void)
@@ -106,8 +104,8 @@
 }
 
 /*
- * Urgent work never ends during an event and drafting waits for ever.  The
- * declared share keeps it moving.
+ * Guards against starvation of a lower class while urgent calls never run out:
+ * it gets its declared share of the starts.
  */
 static void
 test_lower_class_keeps_its_share(void)
@@ -145,7 +143,7 @@
 }
 
 static void
-test_late_items_leave(void)
+test_infeasible_items_leave(void)
 {
 	struct mh_queue *q = mh_queue_create(4);
 	struct mh_item a = item(0, 900, "a"), b = item(1, 100, "a");
@@ -163,11 +161,11 @@
 
 const struct test tests_queue[] = {
 	{ "class_then_deadline", test_class_then_deadline },
-	{ "urgent_takes_a_waiting_place", test_urgent_takes_a_waiting_place },
+	{ "urgent_evicts_lower_class", test_urgent_evicts_lower_class },
 	{ "fair_between_organisations", test_fair_between_organisations },
 	{ "weight_sets_the_share", test_weight_sets_the_share },
 	{ "lower_class_keeps_its_share", test_lower_class_keeps_its_share },
 	{ "fifo_is_fifo", test_fifo_is_fifo },
-	{ "late_items_leave", test_late_items_leave },
+	{ "infeasible_items_leave", test_infeasible_items_leave },
 	{ NULL, NULL },
 };
--- a/regress/t_route.c
+++ b/regress/t_route.c
@@ -1,6 +1,6 @@
 /**
- * DOC: Routing: prefix order with bounded loads, two choices, ejection with
- * a floor, round robin.
+ * DOC: Routing: prefix affinity with bounded loads, two choices, limited
+ * ejection, round robin.
  */
 
 #include "net.h"
@@ -41,9 +41,9 @@
 }
 
 /*
- * Requests of one plant share a long history.  Spread at random, each engine
- * computed it again and again; sent to one engine without a bound, that one
- * was full while the others idled.
+ * Requests with one long prefix go to one engine, else each engine prefills it
+ * again; beyond the load bound they go to the next one, else the first engine
+ * is full while the others are idle.
  */
 static void
 test_prefix_keeps_its_order(void)
@@ -80,14 +80,14 @@
 }
 
 /*
- * A bad model version makes every engine fail now and then.  Ejecting each
- * that failed left one engine for all the work, which then failed for good.
+ * Guards against ejection of most of a pool when all of its engines fail now
+ * and then, as with a bad model version: the few remaining ones are overloaded.
  */
 static void
-test_ejection_has_a_floor(void)
+test_ejection_is_limited(void)
 {
 	struct route_world w;
-	int out = 0;
+	int ejected = 0;
 
 	make(&w, net_doc);
 	for (int i = 0; i < PEERS; i++) {
@@ -95,9 +95,9 @@
 
 		for (int j = 0; j < 5; j++)
 			mh_route_result(w.e->k, p, false, 0);
-		out += p->eject_until_us > mh_now(w.e->k);
+		ejected += p->eject_until_us > mh_now(w.e->k);
 	}
-	CU_ASSERT_EQUAL(out, PEERS / 3);
+	CU_ASSERT_EQUAL(ejected, PEERS / 3);
 	net_destroy(w.n);
 }
 
@@ -119,7 +119,7 @@
 	net_destroy(w.n);
 }
 
-/* Calls already there count, whoever sent them. */
+/* The reported load counts, with the calls of other entries. */
 static void
 test_two_choices_follow_the_load(void)
 {
@@ -163,7 +163,7 @@
 const struct test tests_route[] = {
 	{ "prefix_keeps_its_order", test_prefix_keeps_its_order },
 	{ "prefixes_spread", test_prefixes_spread },
-	{ "ejection_has_a_floor", test_ejection_has_a_floor },
+	{ "ejection_is_limited", test_ejection_is_limited },
 	{ "ejected_is_not_picked", test_ejected_is_not_picked },
 	{ "two_choices_follow_the_load", test_two_choices_follow_the_load },
 	{ "round_robin_is_even", test_round_robin_is_even },
