--- a/lib/fleet.c
+++ b/lib/fleet.c
@@ -103,7 +103,7 @@
 }
 
 void
-mh_fleet_conf(struct mh_fleet *f, struct mh_gconf *conf)
+mh_fleet_set_conf(struct mh_fleet *f, struct mh_gconf *conf)
 {
 	mh_gconf_ref(conf);
 	mh_gconf_unref(f->conf);
@@ -179,16 +179,16 @@
 	struct mh_node *n = g_new0(struct mh_node, 1);
 	GPtrArray *pool = g_hash_table_lookup(f->pools, l->pool);
 
-	n->id = incarnation_id(l->name, l->born_ms);
+	n->id = incarnation_id(l->name, l->start_ms);
 	n->name = g_strdup(l->name);
-	n->born_ms = l->born_ms;
+	n->start_ms = l->start_ms;
 	n->pool = g_strdup(l->pool);
 	n->addr = g_strdup(l->addr);
 	n->domain = g_strdup(l->domain);
 	n->evacuated = f->evacuated != NULL &&
 	    g_strv_contains((const char *const *)f->evacuated, n->domain);
 	n->hash = mh_hash(n->name, strlen(n->name));
-	n->kept_hash = mh_hash(n->id, strlen(n->id));
+	n->cache_hash = mh_hash(n->id, strlen(n->id));
 	f->version++;
 	g_hash_table_insert(f->nodes, n->id, n);
 	g_hash_table_replace(f->names, n->name, n);
@@ -224,14 +224,14 @@
 static struct mh_node *
 replace_node(struct mh_fleet *f, struct mh_node *n, const struct mh_listing *l)
 {
-	int64_t prev_start_ms = n->born_ms;
+	int64_t prev_start_ms = n->start_ms;
 	uint32_t mark = n->mark;
 	char *ended;
 
 	mh_count(f->k, "endpoints_restarted", 1);
 	mh_event(f->k, "endpoint-restarted",
 	    "name=%s pool=%s born_ms=%" PRId64 " former_ms=%" PRId64, l->name,
-	    l->pool, l->born_ms, prev_start_ms);
+	    l->pool, l->start_ms, prev_start_ms);
 	ended = g_strdup(n->id);
 	remove_node(f, n);
 	n = add(f, l);
@@ -257,7 +257,7 @@
 			 : llabs(at_us - n->row_warm_at_us) <= WARM_ROUNDING_US)
 		return;
 	n->row_warm_at_us = at_us;
-	mh_node_warm(f, n, warm_us);
+	mh_node_set_warmup(f, n, warm_us);
 }
 
 void
@@ -267,37 +267,37 @@
 
 	/* The row still describes the previous incarnation. */
 	if (n != NULL && n->prev_start_ms != 0 &&
-	    l->born_ms == n->prev_start_ms) {
+	    l->start_ms == n->prev_start_ms) {
 		n->mark = f->mark;
 		return;
 	}
 	if (n == NULL)
 		n = add(f, l);
-	else if (n->born_ms != l->born_ms || strcmp(n->pool, l->pool) != 0)
+	else if (n->start_ms != l->start_ms || strcmp(n->pool, l->pool) != 0)
 		n = replace_node(f, n, l);
 	if (strcmp(n->addr, l->addr) != 0) {
 		g_free(n->addr);
 		n->addr = g_strdup(l->addr);
 	}
-	if (l->leaving && !n->leaving)
+	if (l->draining && !n->draining)
 		mh_event(
 		    f->k, "endpoint-leaving", "id=%s pool=%s", n->id, n->pool);
-	if (l->leaving != n->leaving)
+	if (l->draining != n->draining)
 		f->version++;
 	n->capacity = l->capacity;
-	n->leaving = l->leaving;
+	n->draining = l->draining;
 	take_warmup(f, n, l->warm_us);
 	n->mark = f->mark;
 }
 
 void
-mh_fleet_born(struct mh_fleet *f, const char *id, int64_t start_ms)
+mh_fleet_set_start(struct mh_fleet *f, const char *id, int64_t start_ms)
 {
 	struct mh_node *n = mh_fleet_find(f, id), *next;
 	struct mh_listing l;
 
-	if (n == NULL || start_ms == 0 || n->born_ms == 0 ||
-	    n->born_ms == start_ms)
+	if (n == NULL || start_ms == 0 || n->start_ms == 0 ||
+	    n->start_ms == start_ms)
 		return;
 	l = (struct mh_listing) { g_strdup(n->name), start_ms,
 		g_strdup(n->pool), g_strdup(n->addr), g_strdup(n->domain),
@@ -331,7 +331,7 @@
 }
 
 void
-mh_fleet_on_gone(
+mh_fleet_on_removed(
     struct mh_fleet *f, void (*fn)(void *arg, const char *id), void *arg)
 {
 	f->on_removed = fn;
@@ -353,7 +353,7 @@
 }
 
 struct mh_node *
-mh_fleet_at(struct mh_fleet *f, const char *addr)
+mh_fleet_find_addr(struct mh_fleet *f, const char *addr)
 {
 	GHashTableIter it;
 	gpointer key, value;
@@ -391,7 +391,7 @@
 	for (guint i = 0; i < pool->len; i++) {
 		struct mh_node *n = g_ptr_array_index(pool, i);
 
-		if (!n->leaving)
+		if (!n->draining)
 			g_ptr_array_add(order, n);
 	}
 	g_ptr_array_sort(order, by_hash);
@@ -423,7 +423,7 @@
 			rank_pool(value);
 		f->ranks_version = f->version;
 	}
-	if (n->leaving)
+	if (n->draining)
 		return count;
 	return (uint32_t)((uint64_t)n->rank * count / n->n_ranked);
 }
@@ -441,17 +441,17 @@
 }
 
 void
-mh_node_told(struct mh_fleet *f, struct mh_node *n, uint32_t running,
+mh_node_set_load(struct mh_fleet *f, struct mh_node *n, uint32_t running,
     uint32_t waiting, uint32_t slots)
 {
 	n->running = running;
 	n->waiting = waiting;
 	n->slots = slots;
-	n->told_us = mh_now(f->k);
+	n->load_at_us = mh_now(f->k);
 }
 
 void
-mh_node_paced(struct mh_fleet *f, struct mh_node *n, uint32_t percent)
+mh_node_set_pace(struct mh_fleet *f, struct mh_node *n, uint32_t percent)
 {
 	n->pace = percent / 100.0;
 	if (n->pace_at_us == 0)
@@ -474,12 +474,12 @@
 }
 
 void
-mh_node_good(struct mh_fleet *f, struct mh_node *n, int64_t took_us)
+mh_node_succeeded(struct mh_fleet *f, struct mh_node *n, int64_t took_us)
 {
 	(void)f;
 	n->streak = 0;
 	n->ejections = 0;
-	n->fail *= 1 - FAIL_WEIGHT;
+	n->fail_share *= 1 - FAIL_WEIGHT;
 	if (n->took_us <= 0)
 		n->took_us = (double)took_us;
 	n->took_us += TOOK_WEIGHT * ((double)took_us - n->took_us);
@@ -495,7 +495,7 @@
 		const struct mh_node *o = g_ptr_array_index(pool, i);
 
 		if (o != n)
-			sum += o->fail;
+			sum += o->fail_share;
 	}
 	return pool == NULL || pool->len < 2 ? 0 : sum / (pool->len - 1);
 }
@@ -511,7 +511,7 @@
 	for (guint i = 0; pool != NULL && i < pool->len; i++) {
 		const struct mh_node *o = g_ptr_array_index(pool, i);
 
-		unused += o != n && (o->evacuated || o->out_until_us > now);
+		unused += o != n && (o->evacuated || o->eject_until_us > now);
 	}
 	return pool != NULL && (unused + 1) * 2 <= pool->len + 1;
 }
@@ -521,30 +521,30 @@
 {
 	int64_t now = mh_now(f->k), eject_us;
 
-	if (n->out_until_us > now || !may_eject(f, n))
+	if (n->eject_until_us > now || !may_eject(f, n))
 		return;
 	eject_us = MIN(EJECT_MIN_US << MIN(n->ejections, 4), EJECT_MAX_US);
 	n->ejections++;
-	n->out_until_us = now + eject_us;
+	n->eject_until_us = now + eject_us;
 	mh_count(f->k, "endpoints_put_out", 1);
 	mh_event(f->k, "endpoint-out",
 	    "id=%s pool=%s why=%s fail=%.2f streak=%u for_ms=%" PRId64, n->id,
-	    n->pool, why, n->fail, n->streak, mh_ms(eject_us));
+	    n->pool, why, n->fail_share, n->streak, mh_ms(eject_us));
 }
 
 void
-mh_node_bad(struct mh_fleet *f, struct mh_node *n, const char *why)
+mh_node_failed(struct mh_fleet *f, struct mh_node *n, const char *why)
 {
 	n->streak++;
-	n->fail += FAIL_WEIGHT * (1 - n->fail);
+	n->fail_share += FAIL_WEIGHT * (1 - n->fail_share);
 	if (n->streak >= EJECT_STREAK ||
-	    (n->fail >= EJECT_FAIL_SHARE &&
-		n->fail >= EJECT_POOL_FACTOR * others_fail_mean(f, n)))
+	    (n->fail_share >= EJECT_FAIL_SHARE &&
+		n->fail_share >= EJECT_POOL_FACTOR * others_fail_mean(f, n)))
 		mh_node_eject(f, n, why);
 }
 
 void
-mh_fleet_on_dead(
+mh_fleet_on_unreachable(
     struct mh_fleet *f, void (*fn)(void *arg, const char *id), void *arg)
 {
 	f->on_unreachable = fn;
@@ -552,9 +552,9 @@
 }
 
 void
-mh_node_dead(struct mh_fleet *f, struct mh_node *n, const char *why)
+mh_node_set_unreachable(struct mh_fleet *f, struct mh_node *n, const char *why)
 {
-	mh_node_bad(f, n, why);
+	mh_node_failed(f, n, why);
 	if (f->on_unreachable != NULL)
 		f->on_unreachable(f->on_unreachable_arg, n->id);
 }
@@ -562,11 +562,12 @@
 bool
 mh_node_usable(const struct mh_fleet *f, const struct mh_node *n)
 {
-	return !n->leaving && !n->evacuated && n->out_until_us <= mh_now(f->k);
+	return !n->draining && !n->evacuated &&
+	    n->eject_until_us <= mh_now(f->k);
 }
 
 void
-mh_node_warm(struct mh_fleet *f, struct mh_node *n, int64_t warm_us)
+mh_node_set_warmup(struct mh_fleet *f, struct mh_node *n, int64_t warm_us)
 {
 	int64_t at_us = mh_now(f->k) + warm_us;
 
--- a/lib/gate.c
+++ b/lib/gate.c
@@ -203,7 +203,7 @@
 		return;
 	n = mh_fleet_find(g->f, q->cur->node);
 	if (n != NULL)
-		mh_node_bad(g->f, n, "silent");
+		mh_node_failed(g->f, n, "silent");
 	mh_event(g->k, "silent",
 	    "id=%s node=%s waited_ms=%" PRId64 " after=%s held=%zu", q->id,
 	    q->cur->node, mh_ms(mh_now(g->k) - q->cur->sent_us),
@@ -231,21 +231,21 @@
 
 void
 mh_gate_fill_place(
-    struct mh_gate *g, const struct mh_greq *q, struct mh_place_ask *a)
+    struct mh_gate *g, const struct mh_greq *q, struct mh_place_request *a)
 {
 	const struct mh_gpool *p = mh_gconf_pool(q->conf, q->pool);
 
 	a->pool = q->pool;
 	if (p != NULL)
-		a->most = MAX(p->max_conns / MAX(g->entries, 1), 1);
+		a->inflight_max = MAX(p->max_conns / MAX(g->entries, 1), 1);
 	a->cold_per_s = p == NULL ? 0 : p->cold_per_s;
-	a->turn = q->slot_node;
-	a->wait_by_us =
+	a->slot_node = q->slot_node;
+	a->wait_deadline_us =
 	    MIN(q->slo_by_us, mh_gate_limit_us(g, q) - REMAINING_MIN_US);
 	a->domain = g->domain;
 	a->n_parts = q->n_parts;
 	memcpy(a->parts, q->parts, sizeof(a->parts));
-	a->apart = mh_poison_apart(g->k, q->fingerprint, q->pool);
+	a->isolation_hash = mh_poison_apart(g->k, q->fingerprint, q->pool);
 	a->n_tried = q->n_tried;
 	for (uint32_t i = 0; i < q->n_tried; i++)
 		a->tried[i] = q->tried[i];
@@ -345,10 +345,10 @@
 /* No endpoint can take it now; waits if a cold one can soon enough. */
 static void
 wait_or_refuse(
-    struct mh_gate *g, struct mh_greq *q, const struct mh_place_ask *a)
+    struct mh_gate *g, struct mh_greq *q, const struct mh_place_request *a)
 {
 	bool waits =
-	    a->wait_us > 0 && mh_now(g->k) + a->wait_us <= a->wait_by_us;
+	    a->wait_us > 0 && mh_now(g->k) + a->wait_us <= a->wait_deadline_us;
 
 	if (!waits) {
 		mh_gate_refuse(g, q,
@@ -357,17 +357,17 @@
 	}
 	mh_count(g->k, "waits_for_cold", 1);
 	mh_event(g->k, "cold-wait", "id=%s pool=%s node=%s wait_ms=%" PRId64,
-	    q->id, q->pool, a->turn_at == NULL ? "" : a->turn_at,
+	    q->id, q->pool, a->wait_node == NULL ? "" : a->wait_node,
 	    mh_ms(a->wait_us));
 	g_free(q->slot_node);
-	q->slot_node = g_strdup(a->turn_at);
+	q->slot_node = g_strdup(a->wait_node);
 	q->slot_timer = mh_timer_start(g->k, a->wait_us, on_cold_slot, q);
 }
 
 void
 mh_gate_try_next(struct mh_gate *g, struct mh_greq *q)
 {
-	struct mh_place_ask a = { 0 };
+	struct mh_place_request a = { 0 };
 	struct mh_node *n;
 	struct mh_try *t;
 
@@ -416,9 +416,9 @@
 	    " after=%s",
 	    q->id, q->route->name, n->id, q->pool, q->n_tried, n->inflight,
 	    n->running, n->waiting,
-	    n->told_us > 0 ? mh_ms(mh_now(g->k) - n->told_us) : -1, n->fail,
-	    a.at_home, mh_node_cold(g->f, n), mh_ms(t->remaining_us),
-	    mh_gate_stream_after(q));
+	    n->load_at_us > 0 ? mh_ms(mh_now(g->k) - n->load_at_us) : -1,
+	    n->fail_share, a.has_cached_prompt, mh_node_cold(g->f, n),
+	    mh_ms(t->remaining_us), mh_gate_stream_after(q));
 	mh_timer_stop(g->k, &q->silence_timer);
 	if (may_retry(q))
 		set_silence_timer(g, q, silence_us(q));
@@ -487,7 +487,7 @@
 {
 	/* An endpoint without a start time has a new id after each restart. */
 	mh_poison_answered(
-	    g->k, t->node, t->sent_us, n != NULL && n->born_ms == 0);
+	    g->k, t->node, t->sent_us, n != NULL && n->start_ms == 0);
 }
 
 enum mh_verdict
@@ -499,11 +499,11 @@
 	bool continues;
 
 	if (n != NULL && a->has_load)
-		mh_node_told(g->f, n, a->running, a->waiting, a->slots);
+		mh_node_set_load(g->f, n, a->running, a->waiting, a->slots);
 	if (n != NULL && a->pace_percent > 0)
-		mh_node_paced(g->f, n, a->pace_percent);
+		mh_node_set_pace(g->f, n, a->pace_percent);
 	if (n != NULL && a->has_warm)
-		mh_node_warm(g->f, n, a->warm_us);
+		mh_node_set_warmup(g->f, n, a->warm_us);
 	if (!a->addr_reused)
 		note_alive(g, t, n);
 	mh_event(g->k, "head",
@@ -511,7 +511,7 @@
 	    q->id, t->node, a->status, a->not_run, a->genuine, mh_ms(took));
 	if (a->not_run) {
 		if (n != NULL && a->addr_reused)
-			n->out_until_us = mh_now(g->k) + MH_US_PER_S;
+			n->eject_until_us = mh_now(g->k) + MH_US_PER_S;
 		retry_not_run(g, q, a);
 		return MH_DROP;
 	}
@@ -520,9 +520,9 @@
 	/* Only events can continue a stream; anything else would end it. */
 	continues = !q->head_forwarded || a->events;
 	if (n != NULL && a->genuine && a->status < 500 && continues)
-		mh_node_good(g->f, n, took);
+		mh_node_succeeded(g->f, n, took);
 	else if (n != NULL)
-		mh_node_bad(g->f, n, a->genuine ? "status" : "not-genuine");
+		mh_node_failed(g->f, n, a->genuine ? "status" : "not-genuine");
 	if (a->genuine && a->status >= 500) /* failed, but did not crash */
 		mh_poison_ran(g->k, q->fingerprint, q->pool);
 	if (!a->genuine || a->status >= 500 || !continues)
@@ -577,7 +577,7 @@
 		t->head_us != 0 &&
 		    mh_now(g->k) - t->head_us > MH_POISON_FRESH_US };
 
-	if (n != NULL && !n->leaving)
+	if (n != NULL && !n->draining)
 		mh_poison_broke(g->k, &e);
 }
 
@@ -612,9 +612,9 @@
 	 * eject half of a pool.
 	 */
 	if (n != NULL && end == MH_CALL_UNSENT)
-		mh_node_dead(g->f, n, "unreachable");
+		mh_node_set_unreachable(g->f, n, "unreachable");
 	else if (n != NULL)
-		mh_node_bad(g->f, n, t->counted ? "broken" : "no-answer");
+		mh_node_failed(g->f, n, t->counted ? "broken" : "no-answer");
 	if (end != MH_CALL_UNSENT)
 		count_run(q, t);
 	/* An endpoint that sends a malformed answer has not crashed. */
@@ -639,7 +639,7 @@
 	    mh_gate_stream_buffered(q));
 	mh_count(g->k, "answers_spoiled", 1);
 	if (n != NULL)
-		mh_node_bad(g->f, n, why);
+		mh_node_failed(g->f, n, why);
 	close_try(g, q, true);
 	retry_or_refuse(g, q, MH_RUN_FAILED);
 }
--- a/lib/gate.h
+++ b/lib/gate.h
@@ -136,8 +136,8 @@
 /** enum mh_ids - how an endpoint numbers the events of its streams. */
 enum mh_ids {
 	MH_IDS_UNKNOWN,
-	MH_IDS_COUNT, /* consecutive, from 0 or 1 */
-	MH_IDS_LEAVE_OUT /* increasing, with gaps or from another number */
+	MH_IDS_CONSECUTIVE, /* consecutive, from 0 or 1 */
+	MH_IDS_SPARSE /* increasing, with gaps or from another number */
 };
 
 struct mh_fleet;
@@ -151,13 +151,13 @@
 struct mh_node {
 	char *id;
 	char *name;
-	int64_t born_ms; /* Unix time of its start; 0: not reported */
+	int64_t start_ms; /* Unix time of its start; 0: not reported */
 	int64_t prev_start_ms; /* of the previous incarnation; 0: none */
 	char *pool;
 	char *addr;
 	char *domain;
 	uint32_t capacity;
-	bool leaving;
+	bool draining;
 	bool evacuated; /* its failure domain is: nothing is sent there */
 	int64_t warm_at_us; /* cold before */
 	int64_t row_warm_at_us; /* the same, by the row last applied */
@@ -169,38 +169,38 @@
 	uint32_t running; /* this and the next two: last reported */
 	uint32_t waiting;
 	uint32_t slots;
-	int64_t told_us; /* time of that report; 0: never */
+	int64_t load_at_us; /* time of that report; 0: never */
 	double pace; /* last reported time of work, relative to the usual */
 	double pace_mean; /* moving average of the reports */
 	int64_t pace_at_us; /* time of the last report; 0: never */
-	double fail; /* moving average of failures, 0 to 1 */
+	double fail_share; /* moving average of failures, 0 to 1 */
 	double took_us; /* moving average of the time to an answer */
 	uint32_t streak; /* failures in a row */
-	int64_t out_until_us; /* not chosen before, unless all are ejected */
+	int64_t eject_until_us; /* not chosen before, unless all are ejected */
 	uint32_t ejections; /* ejections in a row */
 	enum mh_ids ids; /* of its streams' events */
 	uint32_t mark; /* the last reading of the registry that listed it */
 	uint64_t hash; /* of its name: for slices and rendezvous hashing */
 	uint32_t rank; /* by hash among those of its pool not draining... */
 	uint32_t n_ranked; /* ...and how many of these there are */
-	uint64_t kept_hash; /* of its id: for the prompts that it has cached */
+	uint64_t cache_hash; /* of its id: for the prompts that it has cached */
 };
 
 /** struct mh_listing - a row of the registry. */
 struct mh_listing {
 	const char *name;
-	int64_t born_ms; /* Unix time of its start; 0: not reported */
+	int64_t start_ms; /* Unix time of its start; 0: not reported */
 	const char *pool;
 	const char *addr;
 	const char *domain;
 	uint32_t capacity;
-	bool leaving;
+	bool draining;
 	int64_t warm_us; /* remaining warm-up time */
 };
 
 struct mh_fleet *mh_fleet_create(struct mh_kern *k);
-/** mh_fleet_conf() - sets the configuration with the warm-up of pools. */
-void mh_fleet_conf(struct mh_fleet *f, struct mh_gconf *conf);
+/** mh_fleet_set_conf() - sets the configuration with the warm-up of pools. */
+void mh_fleet_set_conf(struct mh_fleet *f, struct mh_gconf *conf);
 /**
  * mh_fleet_evacuate() - sets the evacuated failure domains.
  * @domains: all of their names, NULL-terminated
@@ -215,22 +215,22 @@
 void mh_fleet_begin(struct mh_fleet *f);
 void mh_fleet_list(struct mh_fleet *f, const struct mh_listing *l);
 void mh_fleet_end(struct mh_fleet *f);
-/** mh_fleet_on_gone() - called for each removed node; it may still serve. */
-void mh_fleet_on_gone(
+/** mh_fleet_on_removed() - called for each removed node; it may still serve. */
+void mh_fleet_on_removed(
     struct mh_fleet *f, void (*fn)(void *arg, const char *id), void *arg);
 /** mh_fleet_on_restart() - called with the old id after a restart. */
 void mh_fleet_on_restart(
     struct mh_fleet *f, void (*fn)(void *arg, const char *id), void *arg);
 struct mh_node *mh_fleet_find(struct mh_fleet *f, const char *id);
 /**
- * mh_fleet_born() - an endpoint has reported its start time.
+ * mh_fleet_set_start() - an endpoint has reported its start time.
  *
  * A time other than the listed one means that it was restarted: its node is
  * removed and a new one takes its place.
  */
-void mh_fleet_born(struct mh_fleet *f, const char *id, int64_t start_ms);
-/** mh_fleet_at() - the listed endpoint at an address, or NULL. */
-struct mh_node *mh_fleet_at(struct mh_fleet *f, const char *addr);
+void mh_fleet_set_start(struct mh_fleet *f, const char *id, int64_t start_ms);
+/** mh_fleet_find_addr() - the listed endpoint at an address, or NULL. */
+struct mh_node *mh_fleet_find_addr(struct mh_fleet *f, const char *addr);
 /** mh_fleet_pool() - the endpoints of a pool, or NULL; owned by the fleet. */
 GPtrArray *mh_fleet_pool(struct mh_fleet *f, const char *pool);
 /**
@@ -246,27 +246,28 @@
 uint32_t mh_fleet_size(const struct mh_fleet *f);
 /** mh_fleet_version() - grows if endpoints are added, removed, drained. */
 uint64_t mh_fleet_version(const struct mh_fleet *f);
-/** mh_node_told() - records the load that the endpoint reported. */
-void mh_node_told(struct mh_fleet *f, struct mh_node *n, uint32_t running,
+/** mh_node_set_load() - records the load that the endpoint reported. */
+void mh_node_set_load(struct mh_fleet *f, struct mh_node *n, uint32_t running,
     uint32_t waiting, uint32_t slots);
-/** mh_node_paced() - it reported that work takes @percent of usual time. */
-void mh_node_paced(struct mh_fleet *f, struct mh_node *n, uint32_t percent);
+/** mh_node_set_pace() - it reported that work takes @percent of usual time. */
+void mh_node_set_pace(struct mh_fleet *f, struct mh_node *n, uint32_t percent);
 /** mh_node_pace() - that as a factor; 1 if not reported, or too long ago. */
 double mh_node_pace(const struct mh_fleet *f, const struct mh_node *n);
-/** mh_node_warm() - it reported that it is cold for another @warm_us. */
-void mh_node_warm(struct mh_fleet *f, struct mh_node *n, int64_t warm_us);
+/** mh_node_set_warmup() - it reported that it is cold for another @warm_us. */
+void mh_node_set_warmup(struct mh_fleet *f, struct mh_node *n, int64_t warm_us);
 bool mh_node_cold(const struct mh_fleet *f, const struct mh_node *n);
-/** mh_node_good() - records an answer after @took_us. */
-void mh_node_good(struct mh_fleet *f, struct mh_node *n, int64_t took_us);
-/** mh_node_bad() - records a failure, which may eject the endpoint. */
-void mh_node_bad(struct mh_fleet *f, struct mh_node *n, const char *why);
+/** mh_node_succeeded() - records an answer after @took_us. */
+void mh_node_succeeded(struct mh_fleet *f, struct mh_node *n, int64_t took_us);
+/** mh_node_failed() - records a failure, which may eject the endpoint. */
+void mh_node_failed(struct mh_fleet *f, struct mh_node *n, const char *why);
 /** mh_node_eject() - ejects it for a while, unless too few would remain. */
 void mh_node_eject(struct mh_fleet *f, struct mh_node *n, const char *why);
-/** mh_fleet_on_dead() - called by mh_node_dead(). */
-void mh_fleet_on_dead(
+/** mh_fleet_on_unreachable() - called by mh_node_set_unreachable(). */
+void mh_fleet_on_unreachable(
     struct mh_fleet *f, void (*fn)(void *arg, const char *id), void *arg);
-/** mh_node_dead() - records a failure: it could not be reached. */
-void mh_node_dead(struct mh_fleet *f, struct mh_node *n, const char *why);
+/** mh_node_set_unreachable() - records a failure: it could not be reached. */
+void mh_node_set_unreachable(
+    struct mh_fleet *f, struct mh_node *n, const char *why);
 /** mh_node_usable() - not draining, evacuated or ejected. */
 bool mh_node_usable(const struct mh_fleet *f, const struct mh_node *n);
 
@@ -280,36 +281,36 @@
 	uint32_t tokens;
 };
 
-#define MH_PARTS 16
-#define MH_TRIED 8
+#define MH_PARTS_MAX 16
+#define MH_TRIED_MAX 8
 
-/** struct mh_place_ask - a request to be placed; strings are borrowed. */
-struct mh_place_ask {
+/** struct mh_place_request - a request to be placed; strings are borrowed. */
+struct mh_place_request {
 	const char *pool;
 	const char *domain; /* preferred failure domain, or NULL */
-	uint32_t most; /* of our calls at an endpoint; 0: no limit */
-	struct mh_prompt_part parts[MH_PARTS];
+	uint32_t inflight_max; /* of our calls at an endpoint; 0: no limit */
+	struct mh_prompt_part parts[MH_PARTS_MAX];
 	uint32_t n_parts;
-	const char *tried[MH_TRIED]; /* ids, not chosen again */
+	const char *tried[MH_TRIED_MAX]; /* ids, not chosen again */
 	uint32_t n_tried;
 	/* requests to one cold endpoint from all entries; 0: no limit */
 	double cold_per_s;
-	const char *turn; /* id of the cold endpoint with a slot for it */
-	int64_t wait_by_us; /* absolute: latest usable slot */
+	const char *slot_node; /* id of the cold endpoint with a slot for it */
+	int64_t wait_deadline_us; /* absolute: latest usable slot */
 	int64_t wait_us; /* set if none is chosen: retry after it; 0: do not */
-	const char *turn_at; /* id where a slot is reserved, or NULL */
-	uint64_t apart; /* see poison.h; 0: choose by prompt, load */
-	bool at_home; /* set by the choice: expected there */
+	const char *wait_node; /* id where a slot is reserved, or NULL */
+	uint64_t isolation_hash; /* see poison.h; 0: choose by prompt, load */
+	bool has_cached_prompt; /* set by the choice: expected there */
 };
 
 struct mh_place *mh_place_create(struct mh_kern *k, struct mh_fleet *f);
 void mh_place_destroy(struct mh_place *p);
 /**
- * mh_place_on_rank() - sets the order of entries for a cold endpoint.
+ * mh_place_set_rank() - sets the order of entries for a cold endpoint.
  * @fn: returns the rank of this entry there and sets @entries to the number of
  * entries, see mh_mesh_rank()
  */
-void mh_place_on_rank(struct mh_place *p,
+void mh_place_set_rank(struct mh_place *p,
     uint32_t (*fn)(void *arg, const char *endpoint, uint32_t *entries),
     void *arg);
 /**
@@ -317,13 +318,13 @@
  *
  * NULL with @a->wait_us set: retry after that time.
  */
-struct mh_node *mh_place_pick(struct mh_place *p, struct mh_place_ask *a);
-/** mh_place_home() - the endpoint expected to have the prompt, or NULL. */
-const struct mh_node *mh_place_home(
-    struct mh_place *p, const struct mh_place_ask *a);
+struct mh_node *mh_place_pick(struct mh_place *p, struct mh_place_request *a);
+/** mh_place_affinity() - the endpoint expected to have the prompt, or NULL. */
+const struct mh_node *mh_place_affinity(
+    struct mh_place *p, const struct mh_place_request *a);
 /** mh_place_sent() - @a went to @n, which will cache the prompt's parts. */
 void mh_place_sent(
-    struct mh_place *p, const struct mh_place_ask *a, struct mh_node *n);
+    struct mh_place *p, const struct mh_place_request *a, struct mh_node *n);
 
 /* budget.c: retries as a share of recent requests */
 
@@ -628,7 +629,7 @@
 	const char *target; /* owned by the adapter */
 	char *key; /* NULL: none given */
 	int64_t deadline_us; /* the caller's, from arrival; 0: not given */
-	struct mh_prompt_part parts[MH_PARTS];
+	struct mh_prompt_part parts[MH_PARTS_MAX];
 	uint32_t n_parts;
 	uint32_t tokens_in;
 	uint32_t tokens_out;
@@ -656,7 +657,7 @@
 	struct mh_job *job;
 	char *inputs; /* references to the results of its stages */
 	struct mh_try *cur;
-	char *tried[MH_TRIED];
+	char *tried[MH_TRIED_MAX];
 	uint32_t n_tried;
 	uint32_t runs; /* endpoints that may have run it */
 	uint32_t n_jobs; /* times its stage work was submitted */
--- a/lib/gateint.h
+++ b/lib/gateint.h
@@ -50,7 +50,7 @@
 void mh_gate_close(struct mh_gate *g, struct mh_greq *q, bool abort);
 /** mh_gate_fill_place() - fills in what placement needs of it. */
 void mh_gate_fill_place(
-    struct mh_gate *g, const struct mh_greq *q, struct mh_place_ask *a);
+    struct mh_gate *g, const struct mh_greq *q, struct mh_place_request *a);
 /** mh_gate_log_end() - logs its outcome. */
 void mh_gate_log_end(struct mh_gate *g, const struct mh_greq *q,
     const char *outcome, int64_t retry_us);
--- a/lib/gatejob.c
+++ b/lib/gatejob.c
@@ -63,11 +63,11 @@
 {
 	struct mh_job *j = mh_job_create(q->id);
 	const struct mh_groute *r = q->route;
-	struct mh_place_ask a = { 0 };
+	struct mh_place_request a = { 0 };
 	const struct mh_node *cached;
 
 	mh_gate_fill_place(g, q, &a);
-	cached = mh_place_home(g->place, &a);
+	cached = mh_place_affinity(g->place, &a);
 	if (cached != NULL)
 		j->domain = g_strdup(cached->domain);
 	j->key = g_strdup(q->piece_key);
--- a/lib/gatestream.c
+++ b/lib/gatestream.c
@@ -41,6 +41,6 @@
 	/* Event ids of other routes follow no rule. */
 	if (!t->req->route->stream)
 		return;
-	if (n != NULL && ids != MH_IDS_UNKNOWN && n->ids != MH_IDS_COUNT)
+	if (n != NULL && ids != MH_IDS_UNKNOWN && n->ids != MH_IDS_CONSECUTIVE)
 		n->ids = ids;
 }
--- a/lib/marlhoist.h
+++ b/lib/marlhoist.h
@@ -678,8 +678,8 @@
  */
 void mh_route_result(
     struct mh_kern *k, struct mh_peer *p, bool good, int64_t endpoint_us);
-/** mh_route_judge() - the same without the end of a call. */
-void mh_route_judge(
+/** mh_route_observe() - the same without the end of a call. */
+void mh_route_observe(
     struct mh_kern *k, struct mh_peer *p, bool good, int64_t endpoint_us);
 /** mh_route_wait() - shortest expected wait in us; -1: none is usable. */
 int64_t mh_route_wait(struct mh_kern *k, const char *pool, uint32_t priority);
@@ -875,11 +875,11 @@
  */
 int64_t mh_queue_work_us(const struct mh_queue *q, uint32_t priority);
 /**
- * mh_queue_pop_late() - an item that cannot meet its deadline, or NULL.
+ * mh_queue_pop_infeasible() - an item that cannot meet its deadline, or NULL.
  *
  * @factor: actual over predicted time; 0: only items past their deadline.
  */
-struct mh_item *mh_queue_pop_late(
+struct mh_item *mh_queue_pop_infeasible(
     struct mh_queue *q, int64_t now_us, double factor);
 
 /* ledger.c */
--- a/lib/pipe.c
+++ b/lib/pipe.c
@@ -480,7 +480,7 @@
 	t->call = NULL;
 	/* A call that was given up tells of its endpoint like one that failed.
 	 */
-	mh_route_judge(r->e->k, p, false, mh_now(r->e->k) - t->started_us);
+	mh_route_observe(r->e->k, p, false, mh_now(r->e->k) - t->started_us);
 	try_failed(r, p, &res);
 }
 
--- a/lib/place.c
+++ b/lib/place.c
@@ -77,7 +77,7 @@
 static int64_t
 cache_key(const struct mh_node *n, uint64_t part)
 {
-	return (int64_t)mix(part, n->kept_hash);
+	return (int64_t)mix(part, n->cache_hash);
 }
 
 static bool
@@ -100,7 +100,7 @@
 
 void
 mh_place_sent(
-    struct mh_place *p, const struct mh_place_ask *a, struct mh_node *n)
+    struct mh_place *p, const struct mh_place_request *a, struct mh_node *n)
 {
 	n->sent_us = mh_now(p->k);
 	if (g_hash_table_size(p->cached) > CACHE_ENTRIES_MAX)
@@ -115,7 +115,7 @@
 }
 
 static bool
-was_tried(const struct mh_place_ask *a, const struct mh_node *n)
+was_tried(const struct mh_place_request *a, const struct mh_node *n)
 {
 	for (uint32_t i = 0; i < a->n_tried; i++) {
 		if (strcmp(a->tried[i], n->id) == 0)
@@ -130,7 +130,7 @@
  * belongs to this request alone.
  */
 static const struct mh_node *
-affinity_node(const struct mh_place *p, const struct mh_place_ask *a,
+affinity_node(const struct mh_place *p, const struct mh_place_request *a,
     const GPtrArray *pool)
 {
 	const struct mh_node *affine = NULL;
@@ -153,7 +153,7 @@
 
 /* A cached part is of use only if all parts before it are cached as well. */
 static double
-prefill_us(const struct mh_place *p, const struct mh_place_ask *a,
+prefill_us(const struct mh_place *p, const struct mh_place_request *a,
     const struct mh_node *n, bool affine)
 {
 	double tokens = 0;
@@ -174,7 +174,7 @@
 load_us(const struct mh_place *p, const struct mh_node *n, bool engine)
 {
 	bool fresh =
-	    n->told_us > 0 && mh_now(p->k) - n->told_us < LOAD_EXPIRY_US;
+	    n->load_at_us > 0 && mh_now(p->k) - n->load_at_us < LOAD_EXPIRY_US;
 	double running = n->inflight;
 	double slots = n->capacity > 0 ? n->capacity : 1;
 	double each = n->took_us > 0 ? n->took_us : TOOK_DEFAULT_US;
@@ -192,13 +192,13 @@
 }
 
 static double
-score(const struct mh_place *p, const struct mh_place_ask *a,
+score(const struct mh_place *p, const struct mh_place_request *a,
     const struct mh_node *n, const struct mh_node *affine)
 {
 	double us = load_us(p, n, a->n_parts > 0);
 
 	us += prefill_us(p, a, n, n == affine) * mh_node_pace(p->f, n);
-	us += n->fail * FAIL_COST_US;
+	us += n->fail_share * FAIL_COST_US;
 	if (mh_node_cold(p->f, n))
 		us *= 2;
 	if (a->domain != NULL && strcmp(a->domain, n->domain) != 0)
@@ -209,7 +209,7 @@
 /* cold endpoints */
 
 void
-mh_place_on_rank(struct mh_place *p,
+mh_place_set_rank(struct mh_place *p,
     uint32_t (*fn)(void *arg, const char *endpoint, uint32_t *entries),
     void *arg)
 {
@@ -219,7 +219,7 @@
 
 /* Interval of our time slots at a cold endpoint; 0: we have none there. */
 static int64_t
-slot_interval_us(const struct mh_place *p, const struct mh_place_ask *a,
+slot_interval_us(const struct mh_place *p, const struct mh_place_request *a,
     const struct mh_node *n)
 {
 	struct mh_cold_slot t = { a->cold_per_s, 1, 0 };
@@ -230,7 +230,7 @@
 }
 
 static bool
-is_limited(const struct mh_place *p, const struct mh_place_ask *a,
+is_limited(const struct mh_place *p, const struct mh_place_request *a,
     const struct mh_node *n)
 {
 	return a->cold_per_s > 0 && mh_node_cold(p->f, n);
@@ -250,14 +250,14 @@
 
 /* Whether we may send a request to the endpoint now, cold or not. */
 static bool
-has_slot(const struct mh_place *p, const struct mh_place_ask *a,
+has_slot(const struct mh_place *p, const struct mh_place_request *a,
     const struct mh_node *n)
 {
 	int64_t interval_us;
 
 	if (!is_limited(p, a, n))
 		return true;
-	if (a->turn != NULL && strcmp(a->turn, n->id) == 0)
+	if (a->slot_node != NULL && strcmp(a->slot_node, n->id) == 0)
 		return true;
 	interval_us = slot_interval_us(p, a, n);
 	return interval_us > 0 && next_slot_us(n, interval_us) <= mh_now(p->k);
@@ -271,7 +271,7 @@
 };
 
 static struct slot
-first_slot(const struct mh_place *p, const struct mh_place_ask *a,
+first_slot(const struct mh_place *p, const struct mh_place_request *a,
     const GPtrArray *pool)
 {
 	struct slot first = { NULL, INT64_MAX, 0 };
@@ -298,21 +298,22 @@
  * it and the endpoint is still cold then.
  */
 static void
-wait_for_slot(struct mh_place *p, struct mh_place_ask *a, const GPtrArray *pool)
+wait_for_slot(
+    struct mh_place *p, struct mh_place_request *a, const GPtrArray *pool)
 {
 	struct slot t = first_slot(p, a, pool);
 
 	if (t.node == NULL)
 		return;
 	a->wait_us = MAX(t.at_us - mh_now(p->k), 1);
-	if (t.at_us > a->wait_by_us || t.at_us >= t.node->warm_at_us)
+	if (t.at_us > a->wait_deadline_us || t.at_us >= t.node->warm_at_us)
 		return;
 	t.node->slot_from_us = t.at_us + t.interval_us;
-	a->turn_at = t.node->id;
+	a->wait_node = t.node->id;
 }
 
 static struct mh_node *
-best_of(struct mh_place *p, struct mh_place_ask *a, const GPtrArray *pool,
+best_of(struct mh_place *p, struct mh_place_request *a, const GPtrArray *pool,
     bool with_ejected)
 {
 	const struct mh_node *affine = affinity_node(p, a, pool);
@@ -324,9 +325,9 @@
 		double s;
 
 		/* An endpoint resets connections beyond its limit. */
-		if (a->most > 0 && n->inflight >= a->most)
+		if (a->inflight_max > 0 && n->inflight >= a->inflight_max)
 			continue;
-		if (n->leaving || n->evacuated || was_tried(a, n) ||
+		if (n->draining || n->evacuated || was_tried(a, n) ||
 		    (!with_ejected && !mh_node_usable(p->f, n)) ||
 		    !has_slot(p, a, n))
 			continue;
@@ -336,7 +337,7 @@
 			least = s;
 		}
 	}
-	a->at_home = best != NULL && best == affine;
+	a->has_cached_prompt = best != NULL && best == affine;
 	return best;
 }
 
@@ -347,18 +348,18 @@
  */
 static struct mh_node *
 isolation_node(
-    struct mh_place *p, const struct mh_place_ask *a, const GPtrArray *pool)
+    struct mh_place *p, const struct mh_place_request *a, const GPtrArray *pool)
 {
 	struct mh_node *best = NULL;
 	uint64_t most = 0;
 
 	for (guint i = 0; i < pool->len; i++) {
 		struct mh_node *n = g_ptr_array_index(pool, i);
-		uint64_t w = mix(a->apart, n->hash);
+		uint64_t w = mix(a->isolation_hash, n->hash);
 
 		if (!mh_node_usable(p->f, n) || was_tried(a, n) ||
 		    !has_slot(p, a, n) ||
-		    (a->most > 0 && n->inflight >= a->most) ||
+		    (a->inflight_max > 0 && n->inflight >= a->inflight_max) ||
 		    (best != NULL && w <= most))
 			continue;
 		best = n;
@@ -368,7 +369,7 @@
 }
 
 const struct mh_node *
-mh_place_home(struct mh_place *p, const struct mh_place_ask *a)
+mh_place_affinity(struct mh_place *p, const struct mh_place_request *a)
 {
 	GPtrArray *pool = mh_fleet_pool(p->f, a->pool);
 
@@ -376,14 +377,14 @@
 }
 
 struct mh_node *
-mh_place_pick(struct mh_place *p, struct mh_place_ask *a)
+mh_place_pick(struct mh_place *p, struct mh_place_request *a)
 {
 	GPtrArray *pool = mh_fleet_pool(p->f, a->pool);
 	struct mh_node *n;
 
 	if (pool == NULL)
 		return NULL;
-	n = a->apart != 0 ? isolation_node(p, a, pool) : NULL;
+	n = a->isolation_hash != 0 ? isolation_node(p, a, pool) : NULL;
 	if (n == NULL)
 		n = best_of(p, a, pool, false);
 	if (n == NULL)
--- a/lib/queue.c
+++ b/lib/queue.c
@@ -255,7 +255,7 @@
 }
 
 struct mh_item *
-mh_queue_pop_late(struct mh_queue *q, int64_t now_us, double factor)
+mh_queue_pop_infeasible(struct mh_queue *q, int64_t now_us, double factor)
 {
 	for (guint i = 0; i < q->items->len; i++) {
 		struct mh_item *it = q->items->pdata[i];
--- a/lib/route.c
+++ b/lib/route.c
@@ -296,7 +296,7 @@
 }
 
 void
-mh_route_judge(
+mh_route_observe(
     struct mh_kern *k, struct mh_peer *p, bool good, int64_t endpoint_us)
 {
 	guint usable, ejected;
@@ -331,7 +331,7 @@
 		p->own--;
 	if (p->load_own > p->own)
 		p->load_own = p->own;
-	mh_route_judge(k, p, good, endpoint_us);
+	mh_route_observe(k, p, good, endpoint_us);
 }
 
 int64_t
--- a/lib/sched.c
+++ b/lib/sched.c
@@ -322,7 +322,7 @@
 
 	if (end != MH_BATCH_LOST)
 		mh_poison_answered(
-		    sc->k, b->node, b->sent_us, n != NULL && n->born_ms == 0);
+		    sc->k, b->node, b->sent_us, n != NULL && n->start_ms == 0);
 	for (guint i = 0; i < b->items->len; i++) {
 		const struct mh_job *j =
 		    g_array_index(b->items, struct mh_batch_item, i).job;
@@ -332,7 +332,7 @@
 		if (end == MH_BATCH_DONE && j != NULL)
 			mh_poison_ran(sc->k, j->fingerprint, b->pool);
 		else if (end == MH_BATCH_LOST && b->conn_lost && n != NULL &&
-		    !n->leaving)
+		    !n->draining)
 			mh_poison_broke(sc->k, &e);
 	}
 }
@@ -360,9 +360,9 @@
 	if (end == MH_BATCH_DONE)
 		mh_sched_learn(sc, b, w);
 	if (end == MH_BATCH_DONE && n != NULL)
-		mh_node_good(sc->f, n, mh_now(sc->k) - b->sent_us);
+		mh_node_succeeded(sc->f, n, mh_now(sc->k) - b->sent_us);
 	if (end == MH_BATCH_LOST && n != NULL)
-		mh_node_bad(sc->f, n, "stage-call-lost");
+		mh_node_failed(sc->f, n, "stage-call-lost");
 	if (end == MH_BATCH_LOST) /* the endpoint may still run it */
 		w->shared_end_us = mh_now(sc->k) + SHARED_HOLD_US;
 	if (end == MH_BATCH_FULL) {
@@ -406,7 +406,7 @@
 
 	w->slowdown = MAX(w->slowdown, ratio);
 	if (n != NULL)
-		mh_node_bad(sc->f, n, "stage-call-overdue");
+		mh_node_failed(sc->f, n, "stage-call-overdue");
 	b->requeued = true;
 	/* The next calls of these pieces have not read their inputs yet. */
 	mh_timer_stop(sc->k, &b->read_timer);
--- a/lib/schedresult.c
+++ b/lib/schedresult.c
@@ -205,7 +205,7 @@
 	struct mh_node *n =
 	    m->node == NULL ? NULL : mh_fleet_find(sc->f, m->node);
 
-	return n == NULL || n->out_until_us > mh_now(sc->k);
+	return n == NULL || n->eject_until_us > mh_now(sc->k);
 }
 
 bool
--- a/lib/sidecall.c
+++ b/lib/sidecall.c
@@ -286,7 +286,7 @@
 {
 	struct mh_item *it;
 
-	while ((it = mh_queue_pop_late(
+	while ((it = mh_queue_pop_infeasible(
 		    s->queue, mh_now(s->k), late_factor(s))) != NULL)
 		call_refuse(it->call, WHY_LATE, 0);
 	while (s->running < s->a.slots) {
--- a/lib/sse.c
+++ b/lib/sse.c
@@ -213,8 +213,8 @@
 	struct mh_cursor *c = s->cursor;
 
 	if (!c->has_last)
-		s->ids = id <= expected ? MH_IDS_COUNT : MH_IDS_LEAVE_OUT;
-	c->consecutive = id <= expected && s->prior_ids != MH_IDS_LEAVE_OUT;
+		s->ids = id <= expected ? MH_IDS_CONSECUTIVE : MH_IDS_SPARSE;
+	c->consecutive = id <= expected && s->prior_ids != MH_IDS_SPARSE;
 }
 
 /*
@@ -227,7 +227,7 @@
 {
 	struct mh_cursor *c = s->cursor;
 	uint64_t id, expected = c->has_last ? c->last + 1 : 1;
-	bool no_gaps = c->consecutive || s->prior_ids == MH_IDS_COUNT ||
+	bool no_gaps = c->consecutive || s->prior_ids == MH_IDS_CONSECUTIVE ||
 	    (c->resumes && s->prior_ids == MH_IDS_UNKNOWN);
 
 	if (!read_id(text, &id)) {
--- a/regress/t_cold.c
+++ b/regress/t_cold.c
@@ -42,10 +42,10 @@
 	list_two(f, 0);
 	mh_fleet_evacuate(f, first);
 	for (int i = 0; i < 100; i++) {
-		struct mh_place_ask a = { .pool = "pool",
+		struct mh_place_request a = { .pool = "pool",
 			.parts = { { (uint64_t)i, 900 }, { 7, 10 } },
 			.n_parts = i % 2 == 0 ? 0 : 2,
-			.apart = i % 3 == 0 ? (uint64_t)i : 0 };
+			.isolation_hash = i % 3 == 0 ? (uint64_t)i : 0 };
 
 		n = mh_place_pick(p, &a);
 		CU_ASSERT_PTR_NOT_NULL(n);
@@ -58,7 +58,7 @@
 	mh_fleet_evacuate(f, both);
 	list_two(f, 0);
 	for (int i = 0; i < 2; i++) {
-		struct mh_place_ask a = { .pool = "pool" };
+		struct mh_place_request a = { .pool = "pool" };
 
 		CU_ASSERT_PTR_NULL(mh_place_pick(p, &a));
 		mh_fleet_begin(f);
@@ -67,7 +67,7 @@
 	}
 	mh_fleet_evacuate(f, none);
 	for (int i = 0; i < 2; i++) {
-		struct mh_place_ask a = { .pool = "pool" };
+		struct mh_place_request a = { .pool = "pool" };
 
 		CU_ASSERT_PTR_NOT_NULL(mh_place_pick(p, &a));
 	}
@@ -231,8 +231,8 @@
 		e->f = mh_fleet_create(e->k);
 		e->p = mh_place_create(e->k, e->f);
 		e->m = mh_mesh_create(e->k, node, 1);
-		mh_fleet_conf(e->f, m->conf);
-		mh_place_on_rank(e->p, rank_of, e);
+		mh_fleet_set_conf(e->f, m->conf);
+		mh_place_set_rank(e->p, rank_of, e);
 		list_entries(m, i, partly);
 		list_two(e->f, warm_us);
 	}
@@ -257,18 +257,19 @@
 place_one(
     struct cold_world *m, struct cold_entry *e, int64_t now, uint64_t part)
 {
-	struct mh_place_ask a = { .pool = "pool",
+	struct mh_place_request a = { .pool = "pool",
 		.parts = { { part, 6000 }, { 3, 100 } },
 		.n_parts = 2,
 		.cold_per_s = PER_S,
-		.wait_by_us = now + 500 * MS };
+		.wait_deadline_us = now + 500 * MS };
 	struct mh_node *n = mh_place_pick(e->p, &a);
 
 	if (n == NULL) {
-		m->waited += a.wait_us > 0 && now + a.wait_us <= a.wait_by_us;
+		m->waited +=
+		    a.wait_us > 0 && now + a.wait_us <= a.wait_deadline_us;
 		m->refused++;
 		/* A waiting request is sent in its time slot. */
-		if (a.turn_at != NULL) {
+		if (a.wait_node != NULL) {
 			int64_t at = now + a.wait_us;
 
 			g_array_append_val(m->sent, at);
@@ -419,7 +420,7 @@
 	CU_ASSERT(mh_node_cold(f, n));
 	/* Its row and its answers may date from before the evacuation. */
 	list_two(f, 0);
-	mh_node_warm(f, n, 0);
+	mh_node_set_warmup(f, n, 0);
 	CU_ASSERT(mh_node_cold(f, n));
 	mh_kern_advance(m->e[0].k, 4 * S + 1, 4 * S + 1);
 	CU_ASSERT_FALSE(mh_node_cold(f, n));
@@ -436,7 +437,7 @@
 	struct mh_node *n = mh_fleet_find(f, "a");
 
 	CU_ASSERT(mh_node_cold(f, n));
-	mh_node_warm(f, n, 0); /* reported in an answer */
+	mh_node_set_warmup(f, n, 0); /* reported in an answer */
 	CU_ASSERT_FALSE(mh_node_cold(f, n));
 	mh_kern_advance(k, S + 500 * MS, S + 500 * MS);
 	list_two(f, 1500 * MS); /* the same row again */
@@ -444,7 +445,7 @@
 	list_two(f, 3 * S); /* a new row: cold again */
 	CU_ASSERT(mh_node_cold(f, n));
 	mh_kern_advance(k, 3 * S, 3 * S);
-	mh_node_warm(f, n, 5 * S);
+	mh_node_set_warmup(f, n, 5 * S);
 	list_two(f, 1500 * MS);
 	mh_kern_advance(k, 7 * S, 7 * S);
 	CU_ASSERT(mh_node_cold(f, n));
@@ -463,7 +464,7 @@
 	p->max_conns = 8;
 	p->cold_per_s = 2;
 	g_hash_table_insert(r->conf->pools, p->name, p);
-	mh_node_warm(r->f, n, 10 * S);
+	mh_node_set_warmup(r->f, n, 10 * S);
 	(void)grig_request(r, "/once/x", 5 * S);
 	(void)grig_request(r, "/once/x", 5 * S);
 	(void)grig_request(r, "/once/x", 5 * S);
--- a/regress/t_events.c
+++ b/regress/t_events.c
@@ -306,8 +306,8 @@
 	r->script[0] = RUN(CHUNK(EVENT_1) CHUNK(EVENT_2));
 	frig_converse(r, PLAN);
 	CU_ASSERT_TRUE(is_complete(r));
-	CU_ASSERT_EQUAL(one->ids + two->ids, MH_IDS_COUNT);
-	one->ids = two->ids = MH_IDS_COUNT;
+	CU_ASSERT_EQUAL(one->ids + two->ids, MH_IDS_CONSECUTIVE);
+	one->ids = two->ids = MH_IDS_CONSECUTIVE;
 }
 
 /* Guards against a new connection for each request that was not run. */
--- a/regress/t_gate.c
+++ b/regress/t_gate.c
@@ -214,15 +214,15 @@
 	grig_request(r, "/resume/x", 0);
 	first = mh_fleet_find(r->f, r->last);
 	CU_ASSERT_EQUAL(mh_gate_head(r->g, r->cur, &events), MH_FORWARD);
-	CU_ASSERT(first->fail == 0);
+	CU_ASSERT(first->fail_share == 0);
 	mh_gate_invalid_answer(r->g, r->cur, "test");
-	CU_ASSERT(first->fail > 0);
+	CU_ASSERT(first->fail_share > 0);
 	CU_ASSERT_EQUAL(r->aborts, 1);
 	CU_ASSERT_EQUAL(r->sends, 2);
 	other = mh_fleet_find(r->f, r->last);
 	CU_ASSERT_PTR_NOT_EQUAL(other, first);
 	CU_ASSERT_EQUAL(mh_gate_head(r->g, r->cur, &none), MH_DROP);
-	CU_ASSERT(other->fail > 0);
+	CU_ASSERT(other->fail_share > 0);
 	CU_ASSERT_EQUAL(r->broken, 1);
 	grig_destroy(r);
 }
@@ -565,7 +565,7 @@
 test_cached_endpoint_agreed(void)
 {
 	struct grig *a = grig_create(4), *b = grig_create(4);
-	struct mh_place_ask q = { .pool = "pool", .n_parts = 3 };
+	struct mh_place_request q = { .pool = "pool", .n_parts = 3 };
 	uint32_t seen = 0;
 
 	for (uint64_t part = 1; part <= 40; part++) {
@@ -577,7 +577,7 @@
 		n = mh_place_pick(a->p, &q);
 		m = mh_place_pick(b->p, &q);
 		CU_ASSERT_STRING_EQUAL(n->id, m->id);
-		CU_ASSERT_TRUE(q.at_home);
+		CU_ASSERT_TRUE(q.has_cached_prompt);
 		seen |= 1U << (n->id[1] - '0');
 	}
 	CU_ASSERT_EQUAL(seen, 15);
@@ -590,14 +590,14 @@
 test_cached_endpoint_full(void)
 {
 	struct grig *r = grig_create(4);
-	struct mh_place_ask q = { .pool = "pool",
+	struct mh_place_request q = { .pool = "pool",
 		.n_parts = 2,
 		.parts = { { 5, 3000 }, { 6, 100 } } };
 	struct mh_node *cached = mh_place_pick(r->p, &q);
 
 	cached->inflight = cached->capacity;
 	CU_ASSERT_PTR_NOT_EQUAL(mh_place_pick(r->p, &q), cached);
-	CU_ASSERT_FALSE(q.at_home);
+	CU_ASSERT_FALSE(q.has_cached_prompt);
 	grig_destroy(r);
 }
 
@@ -610,7 +610,7 @@
 test_share_of_connections(void)
 {
 	struct grig *r = grig_create(2);
-	struct mh_place_ask q = { .pool = "pool", .most = 3 };
+	struct mh_place_request q = { .pool = "pool", .inflight_max = 3 };
 
 	for (int i = 0; i < 6; i++)
 		mh_place_pick(r->p, &q)->inflight++;
@@ -634,7 +634,7 @@
 		for (int i = 0; i < 4; i++) {
 			char id[3] = { 'n', (char)('0' + i), 0 };
 
-			mh_node_bad(r->f, mh_fleet_find(r->f, id), "test");
+			mh_node_failed(r->f, mh_fleet_find(r->f, id), "test");
 		}
 	}
 	for (int i = 0; i < 4; i++) {
@@ -653,13 +653,13 @@
 	struct grig *r = grig_create(3);
 	struct mh_node *n = mh_fleet_find(r->f, "n0");
 
-	mh_node_bad(r->f, n, "test");
+	mh_node_failed(r->f, n, "test");
 	CU_ASSERT_TRUE(mh_node_usable(r->f, n));
-	mh_node_bad(r->f, n, "test");
+	mh_node_failed(r->f, n, "test");
 	CU_ASSERT_FALSE(mh_node_usable(r->f, n));
 	grig_advance(r, 800 * MS);
 	CU_ASSERT_TRUE(mh_node_usable(r->f, n));
-	mh_node_bad(r->f, n, "test");
+	mh_node_failed(r->f, n, "test");
 	grig_advance(r, 800 * MS);
 	CU_ASSERT_FALSE(mh_node_usable(r->f, n));
 	grig_advance(r, 1 * S);
@@ -719,16 +719,16 @@
 test_place_by_pace(void)
 {
 	struct grig *r = grig_create(2);
-	struct mh_place_ask q = { .pool = "pool" };
+	struct mh_place_request q = { .pool = "pool" };
 	struct mh_node *slow = mh_place_pick(r->p, &q), *fast;
 
-	mh_node_paced(r->f, slow, 300);
+	mh_node_set_pace(r->f, slow, 300);
 	fast = mh_place_pick(r->p, &q);
 	CU_ASSERT_PTR_NOT_EQUAL(fast, slow);
 	CU_ASSERT(mh_node_pace(r->f, slow) == 3);
 	CU_ASSERT(mh_node_pace(r->f, fast) == 1);
 	/* The last report decays to the mean of the reports, then to 1. */
-	mh_node_paced(r->f, slow, 100);
+	mh_node_set_pace(r->f, slow, 100);
 	CU_ASSERT_DOUBLE_EQUAL(mh_node_pace(r->f, slow), 1, 0.01);
 	mh_kern_advance(r->k, mh_now(r->k) + 125 * MS, 0);
 	CU_ASSERT_DOUBLE_EQUAL(mh_node_pace(r->f, slow), 1.8, 0.01);
--- a/regress/t_platform_rows.c
+++ b/regress/t_platform_rows.c
@@ -278,8 +278,8 @@
 	CU_ASSERT_EQUAL(mh_fleet_size(f), 2);
 	CU_ASSERT_EQUAL(plat_view_rows_have(v), 5);
 	take(v, 6, 5, left, "", 2);
-	CU_ASSERT_TRUE(mh_fleet_find(f, "b")->leaving);
-	CU_ASSERT_FALSE(mh_fleet_find(f, "a")->leaving);
+	CU_ASSERT_TRUE(mh_fleet_find(f, "b")->draining);
+	CU_ASSERT_FALSE(mh_fleet_find(f, "a")->draining);
 	take(v, 8, 6, c, "{\"key\":\"servers/b\",\"revision\":7}", 2);
 	CU_ASSERT_PTR_NULL(mh_fleet_find(f, "b"));
 	CU_ASSERT_EQUAL(mh_fleet_size(f), 2);
@@ -535,14 +535,14 @@
 	struct mh_kern *k = mh_kern_create(1);
 	struct mh_fleet *f = mh_fleet_create(k);
 	struct mh_place *p = mh_place_create(k, f);
-	struct mh_place_ask a = {
+	struct mh_place_request a = {
 		.pool = "pool", .n_parts = 2, .parts = { { 1, 100 }, { 2, 10 } }
 	};
 	struct mh_node *n;
 	uint32_t gone = 0, ended = 0;
 	uint64_t kept;
 
-	mh_fleet_on_gone(f, count_end, &gone);
+	mh_fleet_on_removed(f, count_end, &gone);
 	mh_fleet_on_restart(f, count_end, &ended);
 	list_one(f, BORN_MS, false);
 	list_one(f, BORN_MS, true);
@@ -551,28 +551,28 @@
 		CU_FAIL("nothing came back");
 		return;
 	}
-	CU_ASSERT_TRUE(n->leaving);
-	kept = n->kept_hash;
+	CU_ASSERT_TRUE(n->draining);
+	kept = n->cache_hash;
 	mh_place_sent(p, &a, n);
-	mh_node_bad(f, n, "test");
-	mh_node_told(f, n, 3, 4, 5);
+	mh_node_failed(f, n, "test");
+	mh_node_set_load(f, n, 3, 4, 5);
 	n->inflight = 2;
 	list_one(f, BORN_MS + 9000, false);
 	CU_ASSERT_EQUAL(gone, 1);
 	CU_ASSERT_EQUAL(ended, 1);
 	CU_ASSERT_EQUAL(mh_fleet_size(f), 1);
 	CU_ASSERT_PTR_NULL(mh_fleet_find(f, "i@1784044378752"));
-	n = mh_fleet_at(f, "10.0.0.2:80");
+	n = mh_fleet_find_addr(f, "10.0.0.2:80");
 	if (n == NULL) {
 		CU_FAIL("nothing came back");
 		return;
 	}
 	CU_ASSERT_STRING_EQUAL(n->name, "i");
-	CU_ASSERT_FALSE(n->leaving);
+	CU_ASSERT_FALSE(n->draining);
 	CU_ASSERT_EQUAL(n->inflight, 0);
 	CU_ASSERT_EQUAL(n->streak, 0);
-	CU_ASSERT_EQUAL(n->told_us, 0);
-	CU_ASSERT(n->kept_hash != kept);
+	CU_ASSERT_EQUAL(n->load_at_us, 0);
+	CU_ASSERT(n->cache_hash != kept);
 	mh_place_destroy(p);
 	mh_fleet_destroy(f);
 	mh_kern_destroy(k);
@@ -592,20 +592,21 @@
 
 	mh_fleet_on_restart(f, count_end, &ended);
 	list_one(f, BORN_MS, true);
-	mh_fleet_born(f, "i@1784044378752", BORN_MS);
+	mh_fleet_set_start(f, "i@1784044378752", BORN_MS);
 	CU_ASSERT_EQUAL(ended, 0);
-	mh_fleet_born(f, "i@1784044378752", BORN_MS - 4000);
+	mh_fleet_set_start(f, "i@1784044378752", BORN_MS - 4000);
 	CU_ASSERT_EQUAL(ended, 1);
 	CU_ASSERT_PTR_NOT_NULL(mh_fleet_find(f, "i@1784044374752"));
 	list_one(f, BORN_MS, true);
-	CU_ASSERT_FALSE(mh_fleet_at(f, "10.0.0.2:80")->leaving);
+	CU_ASSERT_FALSE(mh_fleet_find_addr(f, "10.0.0.2:80")->draining);
 	CU_ASSERT_EQUAL(ended, 1);
 	list_one(f, BORN_MS - 4000, false);
 	CU_ASSERT_EQUAL(ended, 1);
 	list_one(f, BORN_MS + 1, false);
 	CU_ASSERT_EQUAL(ended, 2);
 	CU_ASSERT_EQUAL(mh_fleet_size(f), 1);
-	mh_fleet_born(f, "i@1784044378752", BORN_MS + 5); /* a late answer */
+	mh_fleet_set_start(
+	    f, "i@1784044378752", BORN_MS + 5); /* a late answer */
 	CU_ASSERT_EQUAL(ended, 2);
 	mh_fleet_destroy(f);
 	mh_kern_destroy(k);
--- a/regress/t_queue.c
+++ b/regress/t_queue.c
@@ -150,10 +150,10 @@
 
 	mh_queue_put(q, &a);
 	mh_queue_put(q, &b);
-	CU_ASSERT_PTR_EQUAL(mh_queue_pop_late(q, 100, 0), &b);
-	CU_ASSERT_PTR_NULL(mh_queue_pop_late(q, 100, 0));
-	CU_ASSERT_PTR_NULL(mh_queue_pop_late(q, 700, 1));
-	CU_ASSERT_PTR_EQUAL(mh_queue_pop_late(q, 800, 1), &a);
+	CU_ASSERT_PTR_EQUAL(mh_queue_pop_infeasible(q, 100, 0), &b);
+	CU_ASSERT_PTR_NULL(mh_queue_pop_infeasible(q, 100, 0));
+	CU_ASSERT_PTR_NULL(mh_queue_pop_infeasible(q, 700, 1));
+	CU_ASSERT_PTR_EQUAL(mh_queue_pop_infeasible(q, 800, 1), &a);
 	mh_queue_put(q, &a);
 	CU_ASSERT_EQUAL(mh_queue_len(q), 1);
 	mh_queue_destroy(q);
--- a/regress/t_sched.c
+++ b/regress/t_sched.c
@@ -743,7 +743,7 @@
 			for (uint32_t i = 1; i < sizes[p]; i++)
 				moved += at[i] != after[i];
 			CU_ASSERT(moved < count);
-			l.leaving = false;
+			l.draining = false;
 			mh_fleet_list(w->f, &l);
 		}
 	}
