--- a/lib/broker.c
+++ b/lib/broker.c
@@ -1,10 +1,11 @@
 /**
- * DOC: Stage work goes to the entry whose turn it is.
+ * DOC: Broker: sends stage work to its coordinator.
  *
- * All pieces meet at one entry, so that calls are full.  If that entry dies
- * or falls silent its jobs are given to the next, which goes on from the stages
- * that are made: a piece may be made twice, a request is sent once.  One that
- * leaves, or is the home no more, hands on all that it has made.
+ * All pieces of a slice are scheduled by one entry, so that calls are full. If
+ * that entry dies or falls silent its jobs are sent to the next coordinator,
+ * which continues from the computed stages: a piece may be computed twice, a
+ * request is sent once. A coordinator that drains, or that another entry
+ * replaces, hands off its jobs with all computed results.
  */
 
 #include "mesh.h"
@@ -12,38 +13,39 @@
 #include <string.h>
 
 /*
- * An entry with work looks so often whether it is still the home, and is sure
- * of it when so many looks agree: within a beat the others know as well.
+ * An entry with work checks at this interval whether it is still the
+ * coordinator, and hands off after this many checks in a row that it isn't:
+ * within a heartbeat interval the others choose the new one too.
  */
-#define LOOK_US (100 * MH_US_PER_MS)
-#define LOOKS 3
+#define CHECK_US (100 * MH_US_PER_MS)
+#define CHECKS_TO_HAND_OFF 3
 
-/* A job that another entry does for us. */
-struct sent {
+/* A job sent to another entry. */
+struct sent_job {
 	struct mh_job *job;
 	char *node;
-	bool done; /* its results are with the request */
+	bool done; /* its results have been returned to the request */
 };
 
-/* A job that we do for another entry; its job's owner. */
-struct guest {
+/* A job received from another entry; the submitter of its mh_job. */
+struct remote_job {
 	struct mh_broker *b;
 	struct mh_job *job;
 	char *node;
-	bool ended; /* its results wait to be freed */
+	bool ended; /* its results are not freed yet */
 };
 
 struct mh_broker {
 	struct mh_kern *k;
 	struct mh_mesh *m;
 	struct mh_cells *cells;
-	GHashTable *sent; /* job -> struct sent */
-	GHashTable *guests; /* node/id -> struct guest */
-	GHashTable *guest_jobs; /* job -> struct guest */
-	GQueue *held; /* struct mh_job, until we know whose turn it is */
+	GHashTable *sent; /* job -> struct sent_job */
+	GHashTable *guests; /* node/id -> struct remote_job */
+	GHashTable *guest_jobs; /* job -> struct remote_job */
+	GQueue *held; /* struct mh_job, until the settle time is over */
 	struct mh_timer *held_timer;
 	struct mh_timer *look_timer;
-	GHashTable *looks; /* cell -> looks in a row at which it was not ours */
+	GHashTable *lost_checks; /* scheduler -> checks lost in a row */
 	void (*end)(
 	    void *arg, struct mh_job *j, enum mh_job_end end, int64_t retry_us);
 	void *end_arg;
@@ -52,29 +54,30 @@
 static void
 free_sent(void *arg)
 {
-	struct sent *s = arg;
+	struct sent_job *s = arg;
 
 	g_free(s->node);
 	g_free(s);
 }
 
 static char *
-guest_key(const char *node, const char *id)
+remote_key(const char *node, const char *id)
 {
 	return g_strdup_printf("%s/%s", node, id);
 }
 
-/* asking */
+/* requester */
 
 /*
- * The results of a stage as they travel, "" where one is not made; NULL: never
- * begun.  The caller frees the list, not what it names.  Those of a stage half
- * made have a field of their own: an entry of an earlier version takes what it
- * finds among the results of a stage for made, and would run the next stage
- * without it; so it makes the stage anew.
+ * The results of a stage as they are sent, "" for one that is not computed;
+ * NULL if the stage was never begun. The caller frees the array, not its
+ * elements. Results of an incomplete stage are sent in a field of their own: an
+ * entry of an earlier version takes all results of a stage for computed, and
+ * would run the next stage without the missing ones; without the field it
+ * computes the whole stage again.
  */
 static char **
-made_of(const struct mh_jstage *st)
+results_of(const struct mh_jstage *st)
 {
 	char **list;
 
@@ -96,7 +99,7 @@
 	Mh__Frame f = MH__FRAME__INIT;
 	Mh__Job m = MH__JOB__INIT;
 	Mh__JobStage stages[MH_GSTAGES], *list[MH_GSTAGES];
-	char **made[MH_GSTAGES];
+	char **results[MH_GSTAGES];
 
 	m.id = j->id;
 	m.key = j->key == NULL ? (char *)"" : j->key;
@@ -120,14 +123,14 @@
 		stages[s].pieces = j->stages[s].pieces;
 		stages[s].result_bytes = j->stages[s].result_bytes;
 		list[s] = &stages[s];
-		made[s] = made_of(&j->stages[s]);
-		if (made[s] == NULL)
+		results[s] = results_of(&j->stages[s]);
+		if (results[s] == NULL)
 			continue;
 		if (mh_job_stage_made(&j->stages[s])) {
-			stages[s].results = made[s];
+			stages[s].results = results[s];
 			stages[s].n_results = j->stages[s].results->len;
 		} else {
-			stages[s].some = made[s];
+			stages[s].some = results[s];
 			stages[s].n_some = j->stages[s].results->len;
 		}
 	}
@@ -135,13 +138,14 @@
 	f.job = &m;
 	mh_mesh_send(b->m, node, &f);
 	for (uint32_t s = 0; s < j->n_stages; s++)
-		g_free(made[s]);
+		g_free(results[s]);
 }
 
 /*
- * Which slice takes a job: one of the few that this entry uses, by what the
- * slice has of the pools.  With all slices in use by all entries a home would
- * be linked to every entry; with a few, some dozen entries still meet there.
+ * Picks the slice of a job among the few that this entry uses, in proportion to
+ * the slices' shares of the pools. If all entries used all slices, a
+ * coordinator would be linked to every entry; with a few, some dozen entries
+ * still share one.
  */
 static uint32_t
 pick_slice(struct mh_broker *b, const struct mh_job *j, uint32_t count)
@@ -160,23 +164,23 @@
 	uint32_t count = mh_cells_count(b->cells);
 	uint32_t slice = pick_slice(b, j, count);
 	char work[MH_WORK_LEN];
-	const char *home;
-	struct sent *s;
+	const char *coordinator;
+	struct sent_job *s;
 
 	mh_mesh_set_slices(b->m, count);
-	home = mh_mesh_home(b->m, mh_slice_work(work, slice, count));
-	if (mh_mesh_is_self(b->m, home)) {
+	coordinator = mh_mesh_home(b->m, mh_slice_work(work, slice, count));
+	if (mh_mesh_is_self(b->m, coordinator)) {
 		mh_cell_submit(mh_cells_get(b->cells, slice, count), j);
 		return;
 	}
-	s = g_new0(struct sent, 1);
+	s = g_new0(struct sent_job, 1);
 	s->job = j;
-	s->node = g_strdup(home);
+	s->node = g_strdup(coordinator);
 	g_hash_table_insert(b->sent, j, s);
 	mh_count(b->k, "jobs_sent", 1);
-	mh_event(b->k, "job-sent", "id=%s home=%s slice=%u/%u", j->id, home,
-	    slice, count);
-	send_job(b, j, home, slice, count);
+	mh_event(b->k, "job-sent", "id=%s home=%s slice=%u/%u", j->id,
+	    coordinator, slice, count);
+	send_job(b, j, coordinator, slice, count);
 }
 
 static void
@@ -191,9 +195,9 @@
 }
 
 /*
- * A process that has just started knows no other and would do its stage work
- * alone, in small calls that take the endpoints from everybody's: so it waits
- * until it has heard of the others.
+ * A process that has just started knows no other entry and would do its stage
+ * work alone, in small calls that occupy the endpoints: so it waits for the
+ * heartbeats of the others.
  */
 void
 mh_broker_submit(struct mh_broker *b, struct mh_job *j)
@@ -210,11 +214,12 @@
 }
 
 /*
- * What the job's home made before it went is known here alone.  It filled its
- * endpoints until it lapsed.
+ * Results of a job whose coordinator departed are known to this entry alone. If
+ * it doesn't free them, they occupy the endpoints' result memory until they
+ * expire.
  */
 static void
-discard_known(struct mh_broker *b, struct mh_job *j)
+discard_results(struct mh_broker *b, struct mh_job *j)
 {
 	for (uint32_t s = 0; s < j->n_stages; s++) {
 		GPtrArray *a = j->stages[s].results;
@@ -231,16 +236,16 @@
 void
 mh_broker_drop(struct mh_broker *b, struct mh_job *j)
 {
-	struct sent *s = g_hash_table_lookup(b->sent, j);
+	struct sent_job *s = g_hash_table_lookup(b->sent, j);
 	Mh__Frame f = MH__FRAME__INIT;
 	Mh__JobDrop d = MH__JOB_DROP__INIT;
 
-	if (j->state != NULL) { /* a cell of ours has it */
+	if (j->state != NULL) { /* a stage scheduler of this entry has it */
 		mh_cell_cancel(j->cell, j);
 		return;
 	}
 	if (g_queue_remove(b->held, j) || s == NULL) {
-		discard_known(b, j);
+		discard_results(b, j);
 		return;
 	}
 	d.id = j->id;
@@ -251,7 +256,7 @@
 }
 
 static void
-submit_again(struct mh_broker *b, struct mh_job *j, const char *from)
+hand_off(struct mh_broker *b, struct mh_job *j, const char *from)
 {
 	mh_count(b->k, "jobs_moved", 1);
 	mh_event(b->k, "job-moved", "id=%s from=%s", j->id, from);
@@ -273,9 +278,12 @@
 	}
 }
 
-/* Results of stages that others took are gone: only the last ones count. */
+/*
+ * Whether each stage has its list of results; those that later stages read are
+ * freed and empty in it.
+ */
 static bool
-has_finals(const struct mh_job *j)
+has_results(const struct mh_job *j)
 {
 	for (uint32_t s = 0; s < j->n_stages; s++) {
 		const GPtrArray *a = j->stages[s].results;
@@ -294,7 +302,7 @@
 
 	g_hash_table_iter_init(&it, b->sent);
 	while (g_hash_table_iter_next(&it, &key, &value)) {
-		struct sent *s = value;
+		struct sent_job *s = value;
 
 		if (strcmp(s->job->id, id) == 0 && strcmp(s->node, node) == 0)
 			return s->job;
@@ -309,13 +317,13 @@
 	const Mh__JobEnd *m = f->job_end;
 	struct mh_job *j = find_sent(b, node, m->id);
 	enum mh_job_end end = m->held ? MH_JOB_HELD : m->end;
-	struct sent *s;
+	struct sent_job *s;
 
 	if (j == NULL)
-		return; /* its caller left, or it went to another entry */
+		return; /* its client left, or it was sent elsewhere */
 	if (end == MH_JOB_DONE) {
 		take_results(j, m);
-		if (!has_finals(j))
+		if (!has_results(j))
 			end = MH_JOB_FAILED;
 		s = g_hash_table_lookup(b->sent, j);
 		s->done = end == MH_JOB_DONE;
@@ -323,16 +331,16 @@
 	if (end != MH_JOB_DONE)
 		g_hash_table_remove(b->sent, j);
 	if (end == MH_JOB_MOVED) {
-		submit_again(b, j, node);
+		hand_off(b, j, node);
 		return;
 	}
 	b->end(b->end_arg, j, end, (int64_t)m->retry_us);
 }
 
 /*
- * The home tells what it has made, so that the next one goes on from there,
- * should it die.  Without, all begun work was done again from the first stage
- * by a pool that the dead home's results still filled.
+ * The coordinator reports computed results, so that the next one continues from
+ * them should it die. Otherwise all begun work was computed again from the
+ * first stage, in a pool that the dead coordinator's results still filled.
  */
 static void
 on_job_step(void *arg, const char *node, const Mh__Frame *f)
@@ -352,18 +360,18 @@
 	mh_job_forget_read(j);
 }
 
-/* doing */
+/* coordinator */
 
 static void
-free_guest(struct mh_broker *b, struct guest *g)
+free_remote(struct mh_broker *b, struct remote_job *r)
 {
-	char *key = guest_key(g->node, g->job->id);
+	char *key = remote_key(r->node, r->job->id);
 
-	g_hash_table_remove(b->guest_jobs, g->job);
+	g_hash_table_remove(b->guest_jobs, r->job);
 	g_hash_table_remove(b->guests, key);
-	mh_job_destroy(g->job);
-	g_free(g->node);
-	g_free(g);
+	mh_job_destroy(r->job);
+	g_free(r->node);
+	g_free(r);
 	g_free(key);
 }
 
@@ -414,52 +422,55 @@
 on_job(void *arg, const char *node, const Mh__Frame *f)
 {
 	struct mh_broker *b = arg;
-	struct guest *g = g_new0(struct guest, 1);
-	char *key = guest_key(node, f->job->id);
-	struct guest *old = g_hash_table_lookup(b->guests, key);
+	struct remote_job *r = g_new0(struct remote_job, 1);
+	char *key = remote_key(node, f->job->id);
+	struct remote_job *old = g_hash_table_lookup(b->guests, key);
 
 	if (old != NULL) {
 		mh_cell_cancel(old->job->cell, old->job);
-		free_guest(b, old);
+		free_remote(b, old);
 	}
 	mh_mesh_hint(b->m, node, home_of(b, f->job));
-	g->b = b;
-	g->node = g_strdup(node);
-	g->job = read_job(b, f->job);
-	g->job->owner = g;
-	g_hash_table_insert(b->guests, key, g);
-	g_hash_table_insert(b->guest_jobs, g->job, g);
+	r->b = b;
+	r->node = g_strdup(node);
+	r->job = read_job(b, f->job);
+	r->job->owner = r;
+	g_hash_table_insert(b->guests, key, r);
+	g_hash_table_insert(b->guest_jobs, r->job, r);
 	mh_count(b->k, "jobs_guest", 1);
 	mh_cell_submit(mh_cells_get(b->cells, f->job->slice % MH_SLICES,
 			   CLAMP(f->job->slices, 1, MH_SLICES)),
-	    g->job);
+	    r->job);
 }
 
 static void
 on_job_drop(void *arg, const char *node, const Mh__Frame *f)
 {
 	struct mh_broker *b = arg;
-	char *key = guest_key(node, f->job_drop->id);
-	struct guest *g = g_hash_table_lookup(b->guests, key);
+	char *key = remote_key(node, f->job_drop->id);
+	struct remote_job *r = g_hash_table_lookup(b->guests, key);
 
 	g_free(key);
-	if (g == NULL)
+	if (r == NULL)
 		return;
-	mh_cell_cancel(g->job->cell, g->job);
-	free_guest(b, g);
+	mh_cell_cancel(r->job->cell, r->job);
+	free_remote(b, r);
 }
 
 static void
-send_end(
-    struct mh_broker *b, struct guest *g, enum mh_job_end end, int64_t retry_us)
+send_end(struct mh_broker *b, struct remote_job *r, enum mh_job_end end,
+    int64_t retry_us)
 {
-	struct mh_job *j = g->job;
+	struct mh_job *j = r->job;
 	Mh__Frame f = MH__FRAME__INIT;
 	Mh__JobEnd m = MH__JOB_END__INIT;
 	Mh__JobStage stages[MH_GSTAGES], *list[MH_GSTAGES];
 
 	m.id = j->id;
-	/* An entry of an earlier version knows no other end. */
+	/*
+	 * An entry of an earlier version doesn't know this end and reads
+	 * MH_JOB_FAILED.
+	 */
 	m.held = end == MH_JOB_HELD;
 	m.end = m.held ? MH_JOB_FAILED : end;
 	m.retry_us = (uint64_t)MAX(retry_us, 0);
@@ -474,7 +485,7 @@
 			continue;
 		stages[s].n_results = a->len;
 		stages[s].results = (char **)a->pdata;
-		/* Those that were taken by later stages are gone. */
+		/* Results that later stages have read are freed. */
 		for (guint i = 0; i < a->len; i++) {
 			if (a->pdata[i] == NULL)
 				a->pdata[i] = g_strdup("");
@@ -482,73 +493,74 @@
 	}
 	f.body_case = MH__FRAME__BODY_JOB_END;
 	f.job_end = &m;
-	mh_mesh_send(b->m, g->node, &f);
+	mh_mesh_send(b->m, r->node, &f);
 }
 
 void
 mh_broker_cell_step(struct mh_broker *b, struct mh_job *j, uint32_t stage)
 {
-	struct guest *g = g_hash_table_lookup(b->guest_jobs, j);
-	char **made = made_of(&j->stages[stage]);
+	struct remote_job *r = g_hash_table_lookup(b->guest_jobs, j);
+	char **results = results_of(&j->stages[stage]);
 	Mh__Frame f = MH__FRAME__INIT;
 	Mh__JobStep m = MH__JOB_STEP__INIT;
 
-	if (g != NULL && made != NULL) {
+	if (r != NULL && results != NULL) {
 		m.id = j->id;
 		m.stage = stage;
 		if (mh_job_stage_made(&j->stages[stage])) {
-			m.results = made;
+			m.results = results;
 			m.n_results = j->stages[stage].results->len;
 		} else {
-			m.some = made;
+			m.some = results;
 			m.n_some = j->stages[stage].results->len;
 		}
 		f.body_case = MH__FRAME__BODY_JOB_STEP;
 		f.job_step = &m;
-		mh_mesh_send(b->m, g->node, &f);
+		mh_mesh_send(b->m, r->node, &f);
 	}
-	g_free(made);
+	g_free(results);
 }
 
 void
 mh_broker_cell_end(struct mh_broker *b, struct mh_job *j, enum mh_job_end end,
     int64_t retry_us)
 {
-	struct guest *g = g_hash_table_lookup(b->guest_jobs, j);
+	struct remote_job *r = g_hash_table_lookup(b->guest_jobs, j);
 
-	if (g == NULL && end == MH_JOB_MOVED) {
-		submit_again(b, j, "here");
+	if (r == NULL && end == MH_JOB_MOVED) {
+		hand_off(b, j, "here");
 		return;
 	}
-	if (g == NULL) {
+	if (r == NULL) {
 		b->end(b->end_arg, j, end, retry_us);
 		return;
 	}
 	/*
-	 * The last stage first: told of an earlier one, the asker forgets what
-	 * a stage reads that it still takes for made, and it is made again.
+	 * The last stage first: on the results of an earlier stage the
+	 * requester would discard what a later one reads if it still has that
+	 * later stage as computed, and both would be computed again.
 	 */
 	for (uint32_t s = j->n_stages; s > 0 && end == MH_JOB_MOVED; s--)
 		mh_broker_cell_step(b, j, s - 1);
-	send_end(b, g, end, retry_us);
+	send_end(b, r, end, retry_us);
 	if (end != MH_JOB_DONE)
-		free_guest(b, g);
+		free_remote(b, r);
 }
 
-/* an entry is lost */
+/* lost entries */
 
 static void
-drop_guests(struct mh_broker *b, const char *node)
+drop_remotes(struct mh_broker *b, const char *node)
 {
 	GList *all = g_hash_table_get_values(b->guests);
 
 	for (GList *l = all; l != NULL; l = l->next) {
-		struct guest *g = l->data;
+		struct remote_job *r = l->data;
 
-		if (strcmp(g->node, node) != 0)
+		if (strcmp(r->node, node) != 0)
 			continue;
-		mh_cell_cancel(g->job->cell, g->job);
-		free_guest(b, g);
+		mh_cell_cancel(r->job->cell, r->job);
+		free_remote(b, r);
 	}
 	g_list_free(all);
 }
@@ -560,54 +572,57 @@
 	GList *all = g_hash_table_get_keys(b->sent);
 	bool done;
 
-	drop_guests(b, node);
+	drop_remotes(b, node);
 	for (GList *l = all; l != NULL; l = l->next) {
 		struct mh_job *j = l->data;
-		struct sent *s = g_hash_table_lookup(b->sent, j);
+		struct sent_job *s = g_hash_table_lookup(b->sent, j);
 
 		if (s == NULL || strcmp(s->node, node) != 0)
 			continue;
 		done = s->done;
 		g_hash_table_remove(b->sent, j);
 		if (done)
-			continue; /* the results live without it */
-		submit_again(b, j, node);
+			continue; /* the results don't depend on that entry */
+		hand_off(b, j, node);
 	}
 	g_list_free(all);
 }
 
-/* no longer the home */
+/* loss of the coordinator role */
 
 /*
- * Another has become the home while we have jobs: it calls the same endpoints.
- * Both homes' calls queued behind each other until the last of the jobs had
- * ended, two seconds for most, and room was refused for results that the other
- * did not know of.  Once a change: who still takes us for the home is served.
+ * Drains the stage scheduler once another entry has become the coordinator,
+ * since that one calls the same endpoints. Otherwise both coordinators' calls
+ * queued behind each other until the last of the jobs had ended, two seconds
+ * for most, and results were refused for lack of result memory that the other
+ * did not know of. This is done once per change: jobs of entries that still
+ * take this one for the coordinator are served.
  */
 static void
-look_at(void *arg, struct mh_cell *c, uint32_t index, uint32_t count)
+check_role(void *arg, struct mh_cell *c, uint32_t index, uint32_t count)
 {
 	struct mh_broker *b = arg;
 	char work[MH_WORK_LEN];
-	uint32_t looks;
+	uint32_t lost_checks;
 
-	looks = GPOINTER_TO_UINT(g_hash_table_lookup(b->looks, c));
-	if (mh_cell_idle(c) && looks == 0)
+	lost_checks = GPOINTER_TO_UINT(g_hash_table_lookup(b->lost_checks, c));
+	if (mh_cell_idle(c) && lost_checks == 0)
 		return;
 	/*
-	 * Home again, be it without work: unseen, the next time that it is no
-	 * more the home did not count, and it kept what it was given.
+	 * Reset the count also without work: otherwise the next loss of the
+	 * role was not noticed, and this entry kept its jobs.
 	 */
 	if (mh_mesh_is_self(
 		b->m, mh_mesh_home(b->m, mh_slice_work(work, index, count)))) {
-		g_hash_table_remove(b->looks, c);
+		g_hash_table_remove(b->lost_checks, c);
 		return;
 	}
 	if (mh_cell_idle(c))
 		return;
-	if (looks < LOOKS)
-		g_hash_table_insert(b->looks, c, GUINT_TO_POINTER(looks + 1));
-	if (looks + 1 == LOOKS)
+	if (lost_checks < CHECKS_TO_HAND_OFF)
+		g_hash_table_insert(
+		    b->lost_checks, c, GUINT_TO_POINTER(lost_checks + 1));
+	if (lost_checks + 1 == CHECKS_TO_HAND_OFF)
 		mh_cell_leave(c);
 }
 
@@ -616,8 +631,8 @@
 {
 	struct mh_broker *b = arg;
 
-	b->look_timer = mh_timer_start(b->k, LOOK_US, on_look, b);
-	mh_cells_each(b->cells, look_at, b);
+	b->look_timer = mh_timer_start(b->k, CHECK_US, on_look, b);
+	mh_cells_each(b->cells, check_role, b);
 }
 
 void
@@ -643,8 +658,8 @@
 	    g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
 	b->guest_jobs = g_hash_table_new(NULL, NULL);
 	b->held = g_queue_new();
-	b->looks = g_hash_table_new(NULL, NULL);
-	b->look_timer = mh_timer_start(k, LOOK_US, on_look, b);
+	b->lost_checks = g_hash_table_new(NULL, NULL);
+	b->look_timer = mh_timer_start(k, CHECK_US, on_look, b);
 	mh_mesh_on(m, MH__FRAME__BODY_JOB, on_job, b);
 	mh_mesh_on(m, MH__FRAME__BODY_JOB_END, on_job_end, b);
 	mh_mesh_on(m, MH__FRAME__BODY_JOB_STEP, on_job_step, b);
@@ -663,13 +678,13 @@
 	mh_timer_stop(b->k, &b->held_timer);
 	mh_timer_stop(b->k, &b->look_timer);
 	g_queue_free(b->held);
-	g_hash_table_destroy(b->looks);
+	g_hash_table_destroy(b->lost_checks);
 	all = g_hash_table_get_values(b->guests);
 	for (GList *l = all; l != NULL; l = l->next) {
-		struct guest *g = l->data;
+		struct remote_job *r = l->data;
 
-		mh_cell_cancel(g->job->cell, g->job);
-		free_guest(b, g);
+		mh_cell_cancel(r->job->cell, r->job);
+		free_remote(b, r);
 	}
 	g_list_free(all);
 	g_hash_table_destroy(b->guests);
--- a/lib/listed.c
+++ b/lib/listed.c
@@ -1,17 +1,18 @@
 /**
- * DOC: Which of the listed entries are gone for good.
+ * DOC: Which of the listed entries have been dead for long.
  *
- * Entries are listed until somebody takes them out.  One that nobody has heard
- * of for long is gone, unless it is we who hear of nobody.
+ * An entry stays listed until another one removes it. An entry that has been
+ * dead for long counts as departed, unless this entry itself has lost contact
+ * with most others.
  */
 
 #include "mesh.h"
 
-/* Longer than a restart, and than the cuts that a VM comes back from. */
-#define GONE_US (60 * MH_US_PER_S)
+/* Longer than a restart, and than network outages that a VM recovers from. */
+#define DEPARTED_US (60 * MH_US_PER_S)
 
 struct seen {
-	int64_t at_us; /* heard of then, or listed since */
+	int64_t alive_us; /* last time alive, or first time listed */
 	uint32_t round;
 };
 
@@ -55,11 +56,11 @@
 
 	if (s == NULL) {
 		s = g_new0(struct seen, 1);
-		s->at_us = now_us;
+		s->alive_us = now_us;
 		g_hash_table_insert(l->seen, g_strdup(node), s);
 	}
 	if (alive)
-		s->at_us = now_us;
+		s->alive_us = now_us;
 	s->round = l->round;
 	l->alive += alive;
 }
@@ -67,7 +68,7 @@
 GPtrArray *
 mh_listed_gone(struct mh_listed *l, int64_t now_us)
 {
-	GPtrArray *gone = g_ptr_array_new_with_free_func(g_free);
+	GPtrArray *departed = g_ptr_array_new_with_free_func(g_free);
 	GHashTableIter it;
 	gpointer node, value;
 
@@ -77,10 +78,10 @@
 
 		if (s->round != l->round)
 			g_hash_table_iter_remove(&it);
-		else if (now_us - s->at_us > GONE_US)
-			g_ptr_array_add(gone, g_strdup(node));
+		else if (now_us - s->alive_us > DEPARTED_US)
+			g_ptr_array_add(departed, g_strdup(node));
 	}
 	if (l->alive * 2 < g_hash_table_size(l->seen))
-		g_ptr_array_set_size(gone, 0);
-	return gone;
+		g_ptr_array_set_size(departed, 0);
+	return departed;
 }
--- a/lib/mesh.c
+++ b/lib/mesh.c
@@ -1,41 +1,46 @@
 /**
- * DOC: Entries among themselves: who is alive, and whose turn it is.
+ * DOC: Mesh of entries: links and failure detection.
  *
- * The list of entries comes from the platform and may be old; a beat on each
- * link tells who is alive.  The order of entries for a piece of work is by
- * weighted rendezvous hashing, so that all agree without asking, and each
- * dials only the first few of that order.  Two entries that disagree for a
- * moment cost smaller batches, never a wrong answer.
+ * The platform's list of entries may be out of date; heartbeats on each link
+ * show which entries are alive. The order of entries for a piece of work comes
+ * from weighted rendezvous hashing, so that all entries compute the same
+ * coordinator without a message, and each entry dials only the first few of
+ * that order. While two entries disagree for a moment, batches are smaller;
+ * results stay correct.
  */
 
 #include "meshint.h"
 
 #include <string.h>
 
-#define BEAT_US (250 * MH_US_PER_MS)
-/* Three beats and the way: a process that has its turn answers in this. */
+#define HEARTBEAT_US (250 * MH_US_PER_MS)
+/*
+ * Three heartbeats and the network delay: a running process sends within this.
+ */
 #define SILENT_US (850 * MH_US_PER_MS)
 #define REDIAL_US (500 * MH_US_PER_MS)
 /*
- * A first packet to a VM that is still without power is lost and sent again
- * by TCP a second later; links open within some tens of milliseconds.  Each
- * further dial may take twice as long, so that a busy link opens in the end.
+ * A first packet to a VM that is not powered on yet is lost, and TCP
+ * retransmits it a second later; links open within some tens of milliseconds.
+ * Each further dial may take twice as long, so that a link over a congested
+ * network opens in the end.
  */
-#define DIAL_LATE_US (150 * MH_US_PER_MS)
-#define DIAL_DOUBLINGS 4 /* then the link's own timeout comes first */
-/* An entry that could not be reached for so long is passed over. */
-#define GONE_US (1 * MH_US_PER_S)
+#define DIAL_TIMEOUT_US (150 * MH_US_PER_MS)
+#define DIAL_DOUBLINGS 4 /* above, the link times out first */
+/* The order skips an entry that has been unreachable for so long. */
+#define UNREACHABLE_US (1 * MH_US_PER_S)
 /*
- * After a loss of power all processes come back within some tenths of a
- * second, and requests with them.  Until a process has heard of the others it
- * takes itself for the home: twenty of them called the same endpoints, which
- * refused most calls.  So a young process beats and dials more often.
+ * After a power loss all processes come back within some tenths of a second,
+ * and requests with them. Until a process has received heartbeats of the others
+ * it takes itself for the coordinator: twenty of them called the same
+ * endpoints, which refused most calls. So a process that has just started sends
+ * heartbeats and dials more often.
  */
-#define YOUNG_US (1500 * MH_US_PER_MS)
-#define YOUNG_BEAT_US (50 * MH_US_PER_MS)
-#define YOUNG_REDIAL_US (100 * MH_US_PER_MS)
-/* Our own timer was late by so much: this process did not run. */
-#define AWAY_US (600 * MH_US_PER_MS)
+#define STARTUP_US (1500 * MH_US_PER_MS)
+#define STARTUP_HEARTBEAT_US (50 * MH_US_PER_MS)
+#define STARTUP_REDIAL_US (100 * MH_US_PER_MS)
+/* If our own timer fires so late, this process was paused. */
+#define PAUSE_US (600 * MH_US_PER_MS)
 static void on_timer(void *arg);
 
 static void
@@ -157,11 +162,11 @@
 	m->view = *v;
 }
 
-/* It has just started, or woken up, and has to find the others. */
+/* The process has just started or resumed and has to find the other entries. */
 static bool
-is_young(const struct mh_mesh *m)
+is_starting(const struct mh_mesh *m)
 {
-	return mh_now(m->k) - mh_mesh_begun_us(m) < YOUNG_US;
+	return mh_now(m->k) - mh_mesh_begun_us(m) < STARTUP_US;
 }
 
 int64_t
@@ -170,14 +175,16 @@
 	return MAX(m->started_us, m->woke_us);
 }
 
-/* Dials all that are wanted anew, at once. */
+/*
+ * Resets the dial state of all peers after a pause and runs the timer at once.
+ */
 static void
-begin_anew(struct mh_mesh *m, int64_t away_us)
+handle_resume(struct mh_mesh *m, int64_t pause_us)
 {
 	GHashTableIter it;
 	gpointer key, value;
 
-	mh_event(m->k, "woke", "away_ms=%" PRId64, mh_ms(away_us));
+	mh_event(m->k, "woke", "away_ms=%" PRId64, mh_ms(pause_us));
 	mh_count(m->k, "mesh_wakes", 1);
 	m->woke_us = mh_now(m->k);
 	g_hash_table_iter_init(&it, m->peers);
@@ -188,7 +195,7 @@
 		p->tried_us = 0;
 		p->dials = 0;
 		p->dial_us = 0;
-		/* What it sent while we did not run is still to be read. */
+		/* Frames that it sent during the pause are still unread. */
 		if (mh_peer_link(p) != 0)
 			p->heard_us = m->woke_us;
 	}
@@ -197,26 +204,26 @@
 }
 
 /*
- * A VM that froze wakes with links that the others have closed, and with all
- * that its callers sent meanwhile.  Taking the others for lost, each of twenty
- * such entries was its own home of stage work: 1,800 calls in a second, of
- * which 1,300 found their endpoint full.  A late timer of our own shows that it
- * was we who were away: the others are given time to be heard of, as after a
- * start.
+ * A VM that resumes after a freeze has links that the others have closed, and
+ * all requests that its clients sent meanwhile. Twenty such entries took the
+ * others for lost, so each was its own coordinator of stage work: of 1,800
+ * calls in a second, 1,300 found their endpoint full. If our own timer fires
+ * late, this process was the one that paused: the others get time to send
+ * heartbeats, as after a start.
  */
 void
 mh_mesh_look(struct mh_mesh *m)
 {
 	int64_t now = mh_now(m->k), late_us = now - m->ticked_us;
 
-	if (late_us <= AWAY_US)
+	if (late_us <= PAUSE_US)
 		return;
 	m->ticked_us = now;
-	begin_anew(m, late_us);
+	handle_resume(m, late_us);
 }
 
 static void
-fill_beat(struct mh_mesh *m, Mh__Beat *b)
+fill_heartbeat(struct mh_mesh *m, Mh__Beat *b)
 {
 	int64_t oldest = mh_mesh_oldest(m);
 
@@ -245,7 +252,7 @@
 	Mh__Frame f = MH__FRAME__INIT;
 	Mh__Beat b = MH__BEAT__INIT;
 
-	fill_beat(m, &b);
+	fill_heartbeat(m, &b);
 	f.body_case = MH__FRAME__BODY_BEAT;
 	f.beat = &b;
 	if (conn != 0)
@@ -255,10 +262,10 @@
 }
 
 static void
-take_beat(struct mh_mesh *m, struct peer *p, const Mh__Beat *b)
+take_heartbeat(struct mh_mesh *m, struct peer *p, const Mh__Beat *b)
 {
-	bool leaves = b->leaving && !p->leaving;
-	int64_t oldest = leaves ? mh_mesh_oldest(m) : 0;
+	bool starts_drain = b->leaving && !p->leaving;
+	int64_t oldest = starts_drain ? mh_mesh_oldest(m) : 0;
 
 	p->ready = b->ready;
 	p->reads = b->reads;
@@ -268,12 +275,14 @@
 	p->started_us = mh_now(m->k) - (int64_t)b->uptime_us;
 	p->oldest_us = b->oldest_us == 0 ? INT64_MAX
 					 : mh_now(m->k) - (int64_t)b->oldest_us;
-	if (leaves)
+	if (starts_drain)
 		mh_event(m->k, "peer-leaving", "node=%s", p->node);
 	p->leaving = b->leaving;
-	/* Others may know of it through us alone, and go on passing over all
-	 * who have not run for as long. */
-	if (leaves && oldest != mh_mesh_oldest(m))
+	/*
+	 * Other entries may know its start time only through our heartbeat, and
+	 * would go on skipping all entries that have run for less long.
+	 */
+	if (starts_drain && oldest != mh_mesh_oldest(m))
 		mh_mesh_beat(m, 0);
 	mh_mesh_compare_views(m, p, b);
 }
@@ -294,7 +303,7 @@
 	p->heard_us = mh_now(m->k);
 	switch (f->body_case) {
 	case MH__FRAME__BODY_BEAT:
-		take_beat(m, p, f->beat);
+		take_heartbeat(m, p, f->beat);
 		break;
 	case MH__FRAME__BODY_KNOWN:
 		mh_mesh_take_known(m, f->known);
@@ -316,11 +325,11 @@
 }
 
 /*
- * Part of a frame has come.  Whoever sends it is alive, though its beats wait
- * behind.
+ * Part of a frame has arrived. Its sender is alive, though its heartbeats are
+ * queued behind that frame.
  */
 static void
-take_heard(struct mh_mesh *m, uint64_t conn)
+take_partial_frame(struct mh_mesh *m, uint64_t conn)
 {
 	struct peer *p = g_hash_table_lookup(m->conns, &conn);
 
@@ -347,7 +356,7 @@
 }
 
 static void
-note_conn(struct mh_mesh *m, uint64_t conn, struct peer *p)
+add_conn(struct mh_mesh *m, uint64_t conn, struct peer *p)
 {
 	g_hash_table_replace(m->conns, g_memdup2(&conn, sizeof(conn)), p);
 }
@@ -370,7 +379,7 @@
 	if (p->addr == NULL)
 		p->addr = g_strdup(l->addr);
 	p->heard_us = mh_now(m->k);
-	p->oldest_us = INT64_MAX; /* until its first beat */
+	p->oldest_us = INT64_MAX; /* until its first heartbeat */
 	if (p->started_us == 0)
 		p->started_us = p->heard_us;
 	p->failed = false;
@@ -378,8 +387,11 @@
 	p->dials = 0;
 	p->asked_us = 0;
 	p->asked = 0;
-	note_conn(m, l->conn, p);
-	/* It must not wait for our next beat to know that we can serve. */
+	add_conn(m, l->conn, p);
+	/*
+	 * The peer must not wait for our next periodic heartbeat to learn that
+	 * we can serve.
+	 */
 	mh_mesh_beat(m, l->conn);
 	mh_event(m->k, "peer-up", "node=%s addr=%s inbound=%d", p->node,
 	    l->addr, l->inbound);
@@ -398,27 +410,27 @@
 }
 
 /*
- * While all start together most dials fail at first.  Taking those for gone
- * and going on to the next of the order, every entry was linked to every
- * other.
+ * While all entries start together most dials fail at first. When these peers
+ * counted as unreachable at once, each entry went on to the next of the order
+ * until every entry was linked to every other.
  */
 static void
-note_failed(struct mh_mesh *m, struct peer *p)
+note_dial_failed(struct mh_mesh *m, struct peer *p)
 {
-	p->failed = mh_now(m->k) - p->tried_us >= GONE_US;
+	p->failed = mh_now(m->k) - p->tried_us >= UNREACHABLE_US;
 }
 
 static void
 link_down(struct mh_mesh *m, uint64_t conn)
 {
 	struct peer *p = g_hash_table_lookup(m->conns, &conn);
-	bool was;
+	bool was_linked;
 
 	if (p == NULL)
 		return;
-	was = mh_peer_link(p) != 0;
-	if (!was)
-		note_failed(m, p);
+	was_linked = mh_peer_link(p) != 0;
+	if (!was_linked)
+		note_dial_failed(m, p);
 	g_hash_table_remove(m->conns, &conn);
 	if (p->dial == conn)
 		p->dial = 0;
@@ -426,7 +438,7 @@
 		p->out = 0;
 	if (p->in == conn)
 		p->in = 0;
-	if (was && mh_peer_link(p) == 0)
+	if (was_linked && mh_peer_link(p) == 0)
 		peer_lost(m, p, "closed");
 }
 
@@ -447,7 +459,7 @@
 {
 	if (mh_peer_link(p) == 0 || mh_now(m->k) - p->heard_us < SILENT_US)
 		return;
-	/* The link may have gone silent while a new one would work. */
+	/* A new connection may work although this one has gone silent. */
 	drop_link(m, &p->out);
 	drop_link(m, &p->in);
 	p->dial_us = mh_now(m->k);
@@ -455,16 +467,16 @@
 }
 
 static void
-drop_late_dial(struct mh_mesh *m, struct peer *p)
+check_dial_timeout(struct mh_mesh *m, struct peer *p)
 {
-	int64_t late_us = DIAL_LATE_US << MIN(p->dials, DIAL_DOUBLINGS);
+	int64_t late_us = DIAL_TIMEOUT_US << MIN(p->dials, DIAL_DOUBLINGS);
 
 	if (p->dial == 0 || mh_now(m->k) - p->dialled_us < late_us)
 		return;
 	p->dials++;
 	mh_count(m->k, "dials_hung", 1);
 	drop_link(m, &p->dial);
-	note_failed(m, p);
+	note_dial_failed(m, p);
 	p->dial_us = mh_now(m->k);
 }
 
@@ -475,8 +487,9 @@
 	p->dialled_us = mh_now(m->k);
 	if (p->tried_us == 0)
 		p->tried_us = p->dialled_us;
-	p->dial_us = mh_now(m->k) + (is_young(m) ? YOUNG_REDIAL_US : REDIAL_US);
-	note_conn(m, p->dial, p);
+	p->dial_us =
+	    mh_now(m->k) + (is_starting(m) ? STARTUP_REDIAL_US : REDIAL_US);
+	add_conn(m, p->dial, p);
 	mh_link_dial(m->k, p->dial, p->addr);
 }
 
@@ -485,8 +498,9 @@
 {
 	struct mh_mesh *m = arg;
 	/*
-	 * The links' secret may be read after the list of entries.  A dial
-	 * that nobody takes never fails: the entry stayed alone for good.
+	 * The secret of the links may be read after the list of entries. A dial
+	 * without a link service never fails, so the entry would stay without
+	 * links for good.
 	 */
 	bool can_dial = mh_kern_get(m->k, "link") != NULL;
 	GHashTableIter it;
@@ -501,7 +515,7 @@
 		struct peer *p = value;
 
 		check_silent(m, p);
-		drop_late_dial(m, p);
+		check_dial_timeout(m, p);
 		if (mh_peer_link(p) == 0 && p->dial == 0 && !mh_peer_known(p)) {
 			g_hash_table_iter_remove(&it);
 			continue;
@@ -514,8 +528,8 @@
 	mh_mesh_told_anew(m);
 	mh_mesh_beat(m, 0);
 	mh_timer_stop(m->k, &m->timer);
-	m->timer = mh_timer_start(
-	    m->k, is_young(m) ? YOUNG_BEAT_US : BEAT_US, on_timer, m);
+	m->timer = mh_timer_start(m->k,
+	    is_starting(m) ? STARTUP_HEARTBEAT_US : HEARTBEAT_US, on_timer, m);
 }
 
 void
@@ -585,7 +599,7 @@
 		take_frame(m, &msg->u.link);
 		break;
 	case MH_MSG_LINK_HEARD:
-		take_heard(m, msg->u.link.conn);
+		take_partial_frame(m, msg->u.link.conn);
 		break;
 	case MH_MSG_LINK_UP:
 		link_up(m, &msg->u.link);
@@ -625,6 +639,6 @@
 	m->conns =
 	    g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, NULL);
 	mh_kern_add(k, "hub", m, handle, destroy);
-	m->timer = mh_timer_start(k, YOUNG_BEAT_US, on_timer, m);
+	m->timer = mh_timer_start(k, STARTUP_HEARTBEAT_US, on_timer, m);
 	return m;
 }
--- a/lib/mesh.h
+++ b/lib/mesh.h
@@ -2,62 +2,82 @@
 #define MESH_H
 
 /*
- * Entries among themselves: links, who is alive, whose turn it is, and the
- * stage work that they do for each other.
+ * The mesh of entries: links, failure detection, the coordinator of each piece
+ * of work, and the stage work that entries do for each other.
  */
 
 #include "gate.h"
 
-/* mesh.c: service "hub" of a process on the users' platform */
+/*
+ * mesh.c: links, heartbeats and members; service "hub" of a process on the
+ * platform
+ */
 
-/* Work that has one home for all entries. */
+/* Name of the work that has one coordinator for all entries. */
 #define MH_STAGE_WORK "stage-work"
 #define MH_WORK_LEN 48
-/* Slices that one entry uses; of more, each entry takes these few. */
+/* An entry uses at most this many of the slices. */
 #define MH_USED_SLICES 4
 
-/** mh_slice_work() - the name of a slice's work, in @name. */
+/**
+ * mh_slice_work() - name of the work of a slice, for mh_mesh_coordinator().
+ * @name: buffer for it; may be left unused
+ *
+ * Returns @name or a constant.
+ */
 const char *mh_slice_work(
     char name[MH_WORK_LEN], uint32_t slice, uint32_t slices);
 
 struct mh_mesh;
 
-/** struct mh_member - another entry, as it is listed. */
+/** struct mh_member - an entry in the list of entries. */
 struct mh_member {
 	char *node;
 	char *addr; /* ip:port for frames */
-	double weight; /* its share of the work, by its processor */
+	double weight; /* proportional to its processor capacity */
 };
 
 typedef void (*mh_mesh_fn)(void *arg, const char *node, const Mh__Frame *f);
 
-/** struct mh_shared - what another entry asked for; NULL: not asked. */
+/**
+ * struct mh_view_reply - data that another entry requested; NULL: not
+ * requested.
+ */
 struct mh_shared {
 	GBytes *conf;
-	uint64_t conf_base; /* packed by that one; 0: alone */
+	uint64_t conf_base; /* revision that @conf is packed against; 0: none */
 	GBytes *rows;
 	GBytes *entries;
-	const char *const *evacuated; /* domains, ended by NULL; not owned */
-	bool packed; /* by mh_pack() */
+	const char *const *evacuated; /* NULL-terminated domains, borrowed */
+	bool packed; /* documents are compressed by mh_pack() */
 };
 
-/** struct mh_mesh_view - what a process has read, to share with others. */
+/**
+ * struct mh_mesh_view - what a process has read from the platform, to share
+ * with other entries.
+ */
 struct mh_mesh_view {
 	uint64_t (*conf_revision)(void *arg);
 	uint64_t (*rows_revision)(void *arg);
-	/* whether ours is old enough that another's helps */
+	/*
+	 * whether our rows are old enough to request newer ones from another
+	 * entry
+	 */
 	bool (*rows_due)(void *arg);
-	/* the revision that changes are wanted from, 0: all rows */
+	/* base revision of requested changes; 0: requests all rows */
 	uint64_t (*rows_have)(void *arg);
 	int64_t (*rows_age_us)(void *arg);
-	/* another read what we have, and found it unchanged so long ago */
+	/* another entry read the revision that we have @age_us ago */
 	void (*rows_same)(void *arg, int64_t age_us);
-	void (*fill)(void *arg, const Mh__ViewAsk *ask, struct mh_shared *out);
+	void (*fill)(void *arg, const Mh__ViewAsk *req, struct mh_shared *out);
 	void (*take)(void *arg, const Mh__View *v);
 	bool (*ready)(void *arg);
-	bool (*reads)(void *arg); /* whether the platform answers us */
-	uint64_t (*evacuated_revision)(void *arg); /* NULL: none is told */
-	/* of the whole list of entries, 0: not known; NULL: none is told */
+	bool (*reads)(void *arg); /* whether the platform answers our reads */
+	uint64_t (*evacuated_revision)(void *arg); /* NULL: not shared */
+	/*
+	 * revision of the complete list of entries, 0: unknown; NULL: the list
+	 * is not shared
+	 */
 	uint64_t (*entries_revision)(void *arg);
 	uint64_t (*entries_hash)(void *arg);
 	void *arg;
@@ -66,126 +86,180 @@
 struct mh_mesh *mh_mesh_create(
     struct mh_kern *k, const char *node, double weight);
 void mh_mesh_share(struct mh_mesh *m, const struct mh_mesh_view *v);
-/** mh_mesh_list() - all the entries listed now; struct mh_member. */
+/**
+ * mh_mesh_set_members() - replaces the list of entries.
+ * @members: struct mh_member
+ */
 void mh_mesh_list(struct mh_mesh *m, const GPtrArray *members);
-/** mh_mesh_list_some() - some of those listed, until all are known. */
+/**
+ * mh_mesh_add_members() - adds entries while the complete list is not known.
+ */
 void mh_mesh_list_some(struct mh_mesh *m, const GPtrArray *members);
-/** mh_mesh_hears() - whether @node is linked and heard of; NULL: any is. */
+/**
+ * mh_mesh_is_alive() - whether @node is linked and not silent.
+ * @node: NULL: whether any other entry is
+ */
 bool mh_mesh_hears(const struct mh_mesh *m, const char *node);
 void mh_mesh_on(
     struct mh_mesh *m, Mh__Frame__BodyCase kind, mh_mesh_fn fn, void *arg);
-/** mh_mesh_on_lost() - an entry stopped answering. */
+/**
+ * mh_mesh_on_lost() - sets the callback for an entry whose links are closed or
+ * silent.
+ */
 void mh_mesh_on_lost(
     struct mh_mesh *m, void (*fn)(void *arg, const char *node), void *arg);
-/** mh_mesh_on_up() - a link to an entry is up. */
+/** mh_mesh_on_up() - sets the callback for a new link to an entry. */
 void mh_mesh_on_up(
     struct mh_mesh *m, void (*fn)(void *arg, const char *node), void *arg);
 /**
- * mh_mesh_passes_on() - whether others may be linked to us alone.
+ * mh_mesh_is_relay() - whether other entries may be linked to us alone.
  *
- * Most entries are linked to the few that all know; these pass on what all
- * should have.
+ * Most entries are linked only to the first few of the order. These few forward
+ * what every entry should receive.
  */
 bool mh_mesh_passes_on(struct mh_mesh *m);
 /** mh_mesh_send() - false when there is no link to @node. */
 bool mh_mesh_send(struct mh_mesh *m, const char *node, Mh__Frame *f);
-/** mh_mesh_home() - the live entry whose turn @what is; may be ourselves. */
+/**
+ * mh_mesh_coordinator() - name of the live entry that coordinates @what; may be
+ * this entry. Borrowed.
+ */
 const char *mh_mesh_home(struct mh_mesh *m, const char *what);
-/** mh_mesh_hint() - tells @node of a home that it does not seem to know;
- * nothing when that is ourselves. */
-void mh_mesh_hint(struct mh_mesh *m, const char *node, const char *home);
+/**
+ * mh_mesh_announce() - sends @node the address of a coordinator that it does
+ * not seem to know; does nothing if @node itself is the coordinator.
+ */
+void mh_mesh_hint(struct mh_mesh *m, const char *node, const char *coordinator);
 bool mh_mesh_is_self(const struct mh_mesh *m, const char *node);
-/** mh_mesh_unsettled_us() - time until the others have been heard of; 0: it
- * is over. */
+/**
+ * mh_mesh_settle_us() - time to wait for heartbeats of other entries after a
+ * start or a pause, in us; 0: it is over.
+ */
 int64_t mh_mesh_unsettled_us(struct mh_mesh *m);
 /**
- * mh_mesh_reads() - whether it is for us to read what all need: a few do and
- * tell the others, so that the platform's load does not grow with entries.
+ * mh_mesh_is_reader() - whether this entry reads from the platform for others.
+ *
+ * A few entries read what all need and send it to the others, so that the load
+ * on the platform does not grow with the number of entries.
  */
 bool mh_mesh_reads(struct mh_mesh *m);
 /**
- * mh_mesh_first() - whether it is among those that will read, by the list
- * alone: at a start nobody has heard of anybody yet.
+ * mh_mesh_may_read() - whether this entry may become a reader, by membership
+ * alone; at a start no heartbeats have been received yet.
  */
 bool mh_mesh_first(const struct mh_mesh *m);
-/** mh_mesh_slices() - the slices that this entry uses; their number. */
+/**
+ * mh_mesh_slices() - computes the slices that this entry uses; returns their
+ * number.
+ */
 uint32_t mh_mesh_slices(
     const struct mh_mesh *m, uint32_t slices, uint32_t used[MH_USED_SLICES]);
-/** mh_mesh_set_slices() - links go to the homes of this entry's slices. */
+/**
+ * mh_mesh_set_slices() - sets the number of slices; this entry keeps links to
+ * the coordinators of those that it uses.
+ */
 void mh_mesh_set_slices(struct mh_mesh *m, uint32_t slices);
 /**
- * mh_mesh_rank() - how many entries go before this one in the order of @what.
- * @entries: set to how many there are
+ * mh_mesh_rank() - how many entries precede this one in the order of @what.
+ * @entries: set to the number of entries
  *
- * By the list alone, which all have, whoever is cut off.  UINT32_MAX before
- * any was read.
+ * Depends on membership alone, not on which entries are reachable. UINT32_MAX
+ * before a list was read.
  */
 uint32_t mh_mesh_rank(
     const struct mh_mesh *m, const char *what, uint32_t *entries);
-/** mh_mesh_conf_changed() - linked entries hear of it before the next beat. */
+/**
+ * mh_mesh_conf_changed() - sends the new revision to linked entries at once
+ * instead of with the next periodic heartbeat.
+ */
 void mh_mesh_conf_changed(struct mh_mesh *m);
-/** mh_mesh_conf_behind() - another has a later configuration than we have. */
+/**
+ * mh_mesh_conf_stale() - whether another entry has announced a later
+ * configuration than ours.
+ */
 bool mh_mesh_conf_behind(const struct mh_mesh *m);
-/** mh_mesh_conf_offered() - an entry that we hear of has a later one. */
+/**
+ * mh_mesh_conf_available() - whether a live entry has a later configuration.
+ */
 bool mh_mesh_conf_offered(const struct mh_mesh *m);
-/** mh_mesh_conf_behind_us() - for how long, while we ran; 0: it has none. */
+/**
+ * mh_mesh_conf_stale_us() - for how long our configuration has been stale,
+ * without pauses of this process; 0: it is current.
+ */
 int64_t mh_mesh_conf_behind_us(const struct mh_mesh *m);
-/** mh_mesh_leave() - others no longer choose us. */
+/** mh_mesh_drain() - announces that this entry coordinates no new work. */
 void mh_mesh_leave(struct mh_mesh *m);
-/** mh_mesh_size() - live entries, ourselves included. */
+/** mh_mesh_size() - entries that are listed or alive, including this one. */
 uint32_t mh_mesh_size(struct mh_mesh *m);
 
-/** mh_mesh_send_all() - to every entry that we are linked to. */
+/** mh_mesh_send_all() - sends a frame to every linked entry. */
 void mh_mesh_send_all(struct mh_mesh *m, Mh__Frame *f);
 
-/* pack.c: documents packed for the way between entries */
+/* pack.c: compression of documents sent between entries */
 
-/* Bytes that a packed document may have once it is unpacked. */
+/* Maximum size of an unpacked document, in bytes. */
 #define MH_UNPACKED_MOST (16U << 20)
 
-/** mh_bytes_clear() - drops its reference, if there is one. */
+/**
+ * mh_bytes_clear() - drops the reference in @b, if any, and sets it to NULL.
+ */
 void mh_bytes_clear(GBytes **b);
-/** mh_pack() - by what changed since @base, NULL: alone; NULL: nothing. */
+/**
+ * mh_pack() - compresses @doc, with @base as the dictionary unless it is NULL.
+ *
+ * Returns NULL for an empty document or on an error. The caller owns the
+ * result.
+ */
 GBytes *mh_pack(GBytes *doc, const GBytes *base);
 /**
- * mh_unpack() - the document, by the same @base.
+ * mh_unpack() - decompresses a document with the @base that mh_pack() had.
  *
- * NULL where it is torn, not packed, of another base, or of over @most bytes.
+ * Returns NULL if the data is truncated, corrupt or not packed, was packed
+ * against another base, or unpacks to more than @most bytes. The caller owns
+ * the result.
  */
 GBytes *mh_unpack(
     const void *data, size_t len, size_t most, const GBytes *base);
 
-/* past.c: a document's last texts, and what changed since each */
+/* history.c: recent revisions of a document, and the changes between them */
 
 struct mh_past;
 
 struct mh_past *mh_past_create(void);
 void mh_past_destroy(struct mh_past *p);
-/** mh_past_add() - the latest text from now on. */
+/** mh_history_add() - adds a text as the latest revision. */
 void mh_past_add(
     struct mh_past *p, uint64_t revision, const char *data, size_t len);
-/** mh_past_text() - borrowed; NULL: it is not known. */
+/** mh_history_text() - text of @revision, borrowed; NULL if it is not kept. */
 GBytes *mh_past_text(const struct mh_past *p, uint64_t revision);
-/** mh_past_latest() - borrowed; NULL: there is none. */
+/** mh_history_latest() - latest text, borrowed; NULL if there is none. */
 GBytes *mh_past_latest(const struct mh_past *p);
 /**
- * mh_past_packed() - the latest for one who has @since; NULL: there is none.
- * @base: set to what it is packed by, 0: alone
+ * mh_history_packed() - latest text, packed for a receiver that has @since.
+ * @base: set to the revision that it is packed against; 0: none
+ *
+ * Returns NULL if there is no text. The caller owns the result.
  */
 GBytes *mh_past_packed(struct mh_past *p, uint64_t since, uint64_t *base);
 
-/* listed.c: which of the listed entries are gone for good */
+/* liveness.c: which of the listed entries have been dead for long */
 
 struct mh_listed;
 
 struct mh_listed *mh_listed_create(void);
 void mh_listed_destroy(struct mh_listed *l);
-/** mh_listed_begin() - the list is looked through anew. */
+/** mh_liveness_begin() - begins a new round over the list of entries. */
 void mh_listed_begin(struct mh_listed *l);
-/** mh_listed_note() - @node is on it; @alive: we hear of it. */
+/**
+ * mh_liveness_note() - records that @node is listed.
+ * @alive: whether it is linked and not silent
+ */
 void mh_listed_note(
     struct mh_listed *l, const char *node, bool alive, int64_t now_us);
-/** mh_listed_gone() - names of those that are, the caller's to free. */
+/**
+ * mh_liveness_departed() - names of listed entries that have been dead for
+ * long. The caller frees the array.
+ */
 GPtrArray *mh_listed_gone(struct mh_listed *l, int64_t now_us);
 
 /* suspect.c: endpoints that several entries could not reach */
@@ -216,24 +290,33 @@
 /** mh_poison_mesh_destroy() - no message may come any more. */
 void mh_poison_mesh_destroy(struct mh_poison_mesh *p);
 
-/* broker.c: stage work goes to the entry whose turn it is */
+/* broker.c: sends stage work to its coordinator */
 
 struct mh_broker;
 
 struct mh_broker *mh_broker_create(
     struct mh_kern *k, struct mh_mesh *m, struct mh_cells *cells);
 void mh_broker_destroy(struct mh_broker *b);
-/** mh_broker_on_end() - a job that was submitted here has ended. */
+/**
+ * mh_broker_on_end() - sets the callback for the end of a job that was
+ * submitted to this entry.
+ */
 void mh_broker_on_end(struct mh_broker *b,
     void (*fn)(
 	void *arg, struct mh_job *j, enum mh_job_end end, int64_t retry_us),
     void *arg);
 void mh_broker_submit(struct mh_broker *b, struct mh_job *j);
-/** mh_broker_drop() - cancels the job, or frees its results. */
+/** mh_broker_drop() - cancels a job, or frees the results of a finished one. */
 void mh_broker_drop(struct mh_broker *b, struct mh_job *j);
-/** mh_broker_cell_step() - the cell's step() of any job. */
+/**
+ * mh_broker_stage_changed() - callback of the stage scheduler: results of a
+ * stage changed, for local and remote jobs.
+ */
 void mh_broker_cell_step(struct mh_broker *b, struct mh_job *j, uint32_t stage);
-/** mh_broker_cell_end() - the cell's end() of any job. */
+/**
+ * mh_broker_job_ended() - callback of the stage scheduler: a local or remote
+ * job ended.
+ */
 void mh_broker_cell_end(struct mh_broker *b, struct mh_job *j,
     enum mh_job_end end, int64_t retry_us);
 
--- a/lib/meshint.h
+++ b/lib/meshint.h
@@ -1,7 +1,7 @@
 #ifndef MESHINT_H
 #define MESHINT_H
 
-/* Shared by mesh.c, meshknown.c, meshorder.c and meshtold.c alone. */
+/* Shared by mesh.c, meshgossip.c, meshorder.c and meshview.c alone. */
 
 #include "mesh.h"
 
@@ -12,28 +12,28 @@
 	char *addr;
 	double weight;
 	bool listed;
-	int64_t told_until_us; /* another entry told of it, until then */
-	int64_t hinted_us; /* when it was last told of a home */
+	int64_t told_until_us; /* end of membership by announcement */
+	int64_t hinted_us; /* last announcement to it */
 	bool ready;
 	bool leaving;
-	bool reads; /* the platform answers it */
-	uint64_t conf_revision; /* that it has */
-	bool failed; /* the last try to reach it failed */
-	bool wanted; /* worth a link of our own */
-	double rank; /* in the order that is being looked at */
-	int64_t started_us; /* by our clock */
-	int64_t oldest_us; /* start of the longest running that it knows of */
-	uint64_t dial; /* a link being opened, 0: none */
-	uint64_t out; /* links that are up, 0: none */
+	bool reads; /* the platform answers its reads */
+	uint64_t conf_revision; /* configuration revision that it announced */
+	bool failed; /* dials have failed for UNREACHABLE_US */
+	bool wanted; /* we keep a link to it */
+	double rank; /* in the order that is being computed */
+	int64_t started_us; /* on our clock */
+	int64_t oldest_us; /* its earliest start of a serving entry */
+	uint64_t dial; /* connection being opened, 0: none */
+	uint64_t out; /* connection that we opened, 0: none */
 	uint64_t in;
 	int64_t heard_us;
-	int64_t dialled_us; /* when that was begun */
-	uint32_t dials; /* given up as late since it was linked */
-	int64_t tried_us; /* dialled in vain since, 0: not at all */
-	int64_t dial_us; /* not again before */
-	int64_t asked_us; /* when it was last asked for what it has read */
-	int64_t asked_first_us; /* the same, though bytes have come since */
-	uint32_t asked; /* for what: ASKED_CONF and others; 0: it answered */
+	int64_t dialled_us; /* when dial_conn was opened */
+	uint32_t dials; /* dials that timed out since the last link */
+	int64_t tried_us; /* since the last link; 0: none */
+	int64_t dial_us; /* no dial before this time */
+	int64_t asked_us; /* last request or answer bytes; 0: answered */
+	int64_t asked_first_us; /* when that request was sent */
+	uint32_t asked; /* flags REQUESTED_*; 0: answered */
 };
 
 enum { ASKED_CONF = 1, ASKED_ROWS = 2, ASKED_ENTRIES = 4 };
@@ -45,7 +45,7 @@
 
 #define MAX_CASES 64
 
-/* Weights travel in whole units of this part of one. */
+/* Weights are sent as integers in units of 1 / WEIGHT_UNIT. */
 #define WEIGHT_UNIT 10000.0
 
 struct mh_mesh {
@@ -53,11 +53,11 @@
 	char *node;
 	double weight;
 	bool leaving;
-	uint32_t slices; /* of the stage pools */
-	bool have_list; /* of the entries */
+	uint32_t slices; /* number of slices of the stage pools */
+	bool have_list; /* the complete list of entries is known */
 	int64_t started_us;
-	int64_t ticked_us; /* when our timer last ran */
-	int64_t woke_us; /* when we found that we had not run; 0: never */
+	int64_t ticked_us; /* when our timer last fired */
+	int64_t woke_us; /* when the end of a pause was detected; 0: never */
 	GHashTable *peers; /* node -> struct peer */
 	GHashTable *conns; /* conn -> struct peer */
 	struct mh_mesh_view view;
@@ -67,54 +67,71 @@
 	void (*up)(void *arg, const char *node);
 	void *up_arg;
 	struct mh_timer *timer;
-	int64_t conf_asked_us; /* when another was asked, 0: answered */
+	int64_t conf_asked_us; /* last request to a peer; 0: answered */
 	int64_t rows_asked_us;
 	int64_t entries_asked_us;
-	uint64_t conf_heard; /* the latest that another has */
-	int64_t conf_heard_us; /* when that was first told */
-	int64_t conf_behind_us; /* since when it is later than ours; 0: not */
-	size_t told_bytes; /* of all but rows, since the last beat */
-	size_t rows_bytes; /* of rows */
+	uint64_t conf_heard; /* latest that a peer announced */
+	int64_t conf_heard_us; /* when that was first announced */
+	int64_t conf_behind_us; /* 0: ours is current */
+	size_t told_bytes; /* of views without rows, since a heartbeat */
+	size_t rows_bytes; /* of rows, since a heartbeat */
 };
 
-/** mh_peer_link() - a link that is up, 0: none. */
+/** mh_peer_link() - connection id of an open link, 0: none. */
 uint64_t mh_peer_link(const struct peer *p);
-/** mh_peer_alive() - linked and heard of lately. */
+/** mh_peer_alive() - whether it is linked and not silent. */
 bool mh_peer_alive(const struct peer *p);
-/** mh_peer_known() - listed, or told of by another entry. */
+/**
+ * mh_peer_is_member() - whether it is listed, or was announced by another
+ * entry.
+ */
 bool mh_peer_known(const struct peer *p);
-/** mh_mesh_look() - notices that this process has not run for a while. */
+/**
+ * mh_mesh_check_pause() - detects that this process did not run for a while.
+ */
 void mh_mesh_look(struct mh_mesh *m);
-/** mh_mesh_begun_us() - since when it looks for the others. */
+/**
+ * mh_mesh_start_us() - when this process started or resumed, whichever is
+ * later.
+ */
 int64_t mh_mesh_begun_us(const struct mh_mesh *m);
-/** mh_weight_units() - a weight as it travels, in units of WEIGHT_UNIT. */
+/** mh_weight_units() - a weight as it is sent, in units of 1 / WEIGHT_UNIT. */
 uint32_t mh_weight_units(double weight);
-/** mh_peer_of() - the peer of that name, made when first heard of. */
+/** mh_peer_of() - the peer of that name, created if there is none. */
 struct peer *mh_peer_of(struct mh_mesh *m, const char *node);
-/** mh_mesh_send_conn() - a frame to one link. */
+/** mh_mesh_send_conn() - sends a frame over one connection. */
 void mh_mesh_send_conn(struct mh_mesh *m, uint64_t conn, Mh__Frame *f);
-/** mh_mesh_beat() - to one link, or to all: 0. */
+/**
+ * mh_mesh_heartbeat() - sends a heartbeat over @conn, or over all links if 0.
+ */
 void mh_mesh_beat(struct mh_mesh *m, uint64_t conn);
-/** mh_mesh_take_known() - another entry tells of one. */
+/** mh_mesh_take_known() - adds an entry that another entry announced. */
 void mh_mesh_take_known(struct mh_mesh *m, const Mh__Known *k);
-/** mh_mesh_oldest() - start of the longest running that can serve, of itself
- * and those it is linked to; INT64_MAX: none can. */
+/**
+ * mh_mesh_oldest_start_us() - earliest start time of this entry and the linked
+ * entries that can serve; INT64_MAX if none can.
+ */
 int64_t mh_mesh_oldest(struct mh_mesh *m);
-/** mh_mesh_want_links() - marks the peers that are worth a link. */
+/** mh_mesh_select_links() - marks the peers that this entry keeps links to. */
 void mh_mesh_want_links(struct mh_mesh *m);
 
-/* meshtold.c */
+/* meshview.c */
 
 uint64_t mh_mesh_evacuated_revision(const struct mh_mesh *m);
-/** mh_mesh_compare_views() - asks for what the sender of a beat has later. */
+/**
+ * mh_mesh_compare_views() - requests what the sender of a heartbeat has in a
+ * later revision.
+ */
 void mh_mesh_compare_views(
     struct mh_mesh *m, struct peer *p, const Mh__Beat *b);
 void mh_mesh_answer_view(
-    struct mh_mesh *m, struct peer *p, const Mh__ViewAsk *ask);
+    struct mh_mesh *m, struct peer *p, const Mh__ViewAsk *req);
 void mh_mesh_take_view(struct mh_mesh *m, struct peer *p, const Mh__View *v);
-/** mh_mesh_answer_comes() - bytes from a peer, of no whole frame yet. */
+/**
+ * mh_mesh_view_arriving() - records bytes of an incomplete frame from a peer.
+ */
 void mh_mesh_answer_comes(struct mh_mesh *m, struct peer *p);
-/** mh_mesh_told_anew() - a beat has passed. */
+/** mh_mesh_reset_sent_bytes() - begins a new heartbeat interval. */
 void mh_mesh_told_anew(struct mh_mesh *m);
 
 #endif
--- a/lib/meshknown.c
+++ b/lib/meshknown.c
@@ -1,15 +1,18 @@
 /**
- * DOC: Entries that the platform's list lacks: others tell of them.
+ * DOC: Entries that the platform's list lacks, announced by other entries.
  */
 
 #include "meshint.h"
 
-/* An entry that another told of is known so long, unless told of again... */
-#define TOLD_US (10 * MH_US_PER_S)
-/* ...which is done so often at most. */
-#define HINT_US (200 * MH_US_PER_MS)
+/* How long an announced entry counts as a member... */
+#define ANNOUNCED_US (10 * MH_US_PER_S)
+/* ...and the least interval between two announcements to one entry. */
+#define ANNOUNCE_INTERVAL_US (200 * MH_US_PER_MS)
 
-/* All who rank an entry must have the very same weight of it. */
+/*
+ * All entries that rank one must use exactly the same weight, so weights are
+ * rounded to the unit in which they are sent.
+ */
 uint32_t
 mh_weight_units(double weight)
 {
@@ -23,23 +26,25 @@
 }
 
 /*
- * An entry that the store turns away drops out of its list after some seconds,
- * though it serves on.  Who read the list before still takes it for the home;
- * one that restarts reads the list without it and chose another, which then
- * called the same endpoints, for as long as the store turned the first away.
- * So whoever gets work for which another is the home tells of that one.
+ * An entry whose requests the store refuses drops out of the store's list after
+ * some seconds, though it still serves. Entries that read the list earlier
+ * still take it for the coordinator; one that restarts reads the list without
+ * it and chose another coordinator, which then called the same endpoints for as
+ * long as the store refused the first. So an entry that receives work which
+ * another one coordinates announces that coordinator to the sender.
  */
 void
-mh_mesh_hint(struct mh_mesh *m, const char *node, const char *home)
+mh_mesh_hint(struct mh_mesh *m, const char *node, const char *coordinator)
 {
 	struct peer *to = g_hash_table_lookup(m->peers, node);
-	struct peer *p = g_hash_table_lookup(m->peers, home);
+	struct peer *p = g_hash_table_lookup(m->peers, coordinator);
 	Mh__Frame f = MH__FRAME__INIT;
 	Mh__Known k = MH__KNOWN__INIT;
 
 	if (to == NULL || to == p || p == NULL || p->addr == NULL ||
 	    mh_peer_link(to) == 0 ||
-	    (to->hinted_us != 0 && mh_now(m->k) - to->hinted_us < HINT_US))
+	    (to->hinted_us != 0 &&
+		mh_now(m->k) - to->hinted_us < ANNOUNCE_INTERVAL_US))
 		return;
 	to->hinted_us = mh_now(m->k);
 	k.node = p->node;
@@ -64,9 +69,9 @@
 	if (!mh_peer_known(p))
 		mh_event(
 		    m->k, "entry-told-of", "node=%s addr=%s", k->node, k->addr);
-	p->told_until_us = mh_now(m->k) + TOLD_US;
+	p->told_until_us = mh_now(m->k) + ANNOUNCED_US;
 	if (p->listed)
-		return; /* the list has its address and weight */
+		return; /* address and weight of the list take precedence */
 	p->weight = k->weight / WEIGHT_UNIT;
 	g_free(p->addr);
 	p->addr = g_strdup(k->addr);
--- a/lib/meshorder.c
+++ b/lib/meshorder.c
@@ -1,5 +1,6 @@
 /**
- * DOC: Whose turn it is: the order of entries for a piece of work.
+ * DOC: The order of entries for a piece of work: its coordinator, links,
+ * readers.
  */
 
 #include "meshint.h"
@@ -7,42 +8,54 @@
 #include <math.h>
 #include <string.h>
 
-/* First in the order of any work: one to use and the next to fall back on. */
-#define DIALLED 4
 /*
- * Where fewer can serve, as far as is known, so many of the order are tried.
- * While hundreds of entries start together, what they say of their age comes
- * late and none seems to have run for long enough: each had links to all.
+ * Entries to link to, the first of the order of any work: the coordinator and
+ * those that would replace it.
+ */
+#define LINKED_FIRST 4
+/*
+ * If fewer can serve, as far as is known, at most this many of the order are
+ * dialled. While hundreds of entries start together, their start times arrive
+ * late and none seems to have run for long enough, so that each entry linked to
+ * all.
+ */
+#define DIALLED_MAX 12
+/*
+ * Entries that read from the platform for all; a second one, since one may be
+ * cut off or die unnoticed.
  */
-#define TRIED_MOST 12
-/* Entries that read for all: one may be cut off or die unnoticed. */
 #define READERS 2
 /*
- * While the platform answers nobody these few find it back.  With all 68
- * entries trying, a day in which it was away for 14 s took 7,784 calls, with
- * these 3,980, both counted by the platform.
+ * Entries that poll a platform which answers nobody. With all 68 entries
+ * polling, a day with a 14 s outage took 7,784 calls, counted by the platform;
+ * with these 3,980.
+ */
+#define POLLERS 3
+/*
+ * After this uptime a process coordinates work, whatever the uptime of others.
  */
-#define SEEKERS 3
-/* A process that ran so long is as good a home as any. */
 #define SETTLED_US (8 * MH_US_PER_S)
-/* Processes that were started within this time were started together. */
-#define TOGETHER_US (2 * MH_US_PER_S)
+/* Start times that differ by less count as equal. */
+#define SAME_START_US (2 * MH_US_PER_S)
 
 /*
- * Processes that lost power together are back within a few tenths of a
- * second, in any order; by then a link to each has been tried again.
+ * Processes that lost power together are back within a few tenths of a second,
+ * in any order; within this time a link to each has been tried again.
  */
-#define UNSETTLED_US (400 * MH_US_PER_MS)
+#define SETTLE_US (400 * MH_US_PER_MS)
 
 /*
- * A process that has just started is taken for one that will be ready: all rows
- * of 3,000 endpoints take 2 to 4 s over 10 Mbit/s.  Passed over after one
- * second, the first of the order gave way to the next, which were not ready
- * either, until each was linked to all.
+ * For this time after its start a process that is not ready is expected to
+ * become so: all rows of 3,000 endpoints take 2 to 4 s over 10 Mbit/s. When
+ * such processes were skipped after one second, entries linked to the next ones
+ * of the order, which were not ready either, until each was linked to all.
  */
 #define STARTING_US (4 * MH_US_PER_S)
 
-/* Highest wins; a share of the work by weight (Wang and Ravishankar). */
+/*
+ * Weighted rendezvous hashing (Wang and Ravishankar): the highest value comes
+ * first, and each entry's share of the work is proportional to its weight.
+ */
 static double
 rank(const char *what, const char *node, double weight)
 {
@@ -100,8 +113,9 @@
 }
 
 /*
- * One that leaves serves nobody: counting itself, it passed over all who had
- * just come back and did its callers' stage work itself up to its end.
+ * A draining entry doesn't count: when it counted itself, it skipped all
+ * entries that had just restarted and did its clients' stage work alone until
+ * it exited.
  */
 int64_t
 mh_mesh_oldest(struct mh_mesh *m)
@@ -121,10 +135,11 @@
 }
 
 /*
- * When the longest running of all that can serve was started.  It links itself
- * to whoever comes before the home, so that each entry, linked to some of
- * those, is told of it.  By its own links alone, one that had just come back
- * knew only others that had, and took one of them for the home.
+ * Earliest start time of all entries that can serve. The longest running entry
+ * keeps links to those that precede the coordinator in the order, so that the
+ * entries linked to these receive its start time in their heartbeats. By its
+ * own links alone, an entry that had just restarted knew only others that had
+ * too, and took one of them for the coordinator.
  */
 static int64_t
 oldest_start(struct mh_mesh *m)
@@ -144,46 +159,48 @@
 }
 
 /*
- * Work moves to another home each time a better one appears, and moving
- * costs.  While processes restart in turn, those that have just come back are
- * passed over as long as longer running ones can serve; when all restarted
- * together, none is passed over.
+ * Latest start time of an entry that may coordinate work. Work moves each time
+ * that a better coordinator appears, and moving costs. While processes restart
+ * one after another, those that have just restarted are skipped as long as
+ * longer running ones can serve; if all restarted together, none is skipped.
  */
 static int64_t
 latest_start(struct mh_mesh *m)
 {
-	return MAX(mh_now(m->k) - SETTLED_US, oldest_start(m) + TOGETHER_US);
+	return MAX(mh_now(m->k) - SETTLED_US, oldest_start(m) + SAME_START_US);
 }
 
-/* The first of the order that can serve and was started by then, or NULL. */
+/* The first of the order that can serve and started by @latest, or NULL. */
 static const char *
 first_of(struct mh_mesh *m, const char *what, int64_t latest)
 {
 	const char *best = NULL;
-	double most = -1;
+	double best_rank = -1;
 	GHashTableIter it;
 	gpointer key, value;
 
 	if (!m->leaving && m->started_us <= latest) {
 		best = m->node;
-		most = rank(what, m->node, m->weight);
+		best_rank = rank(what, m->node, m->weight);
 	}
 	g_hash_table_iter_init(&it, m->peers);
 	while (g_hash_table_iter_next(&it, &key, &value)) {
 		const struct peer *p = value;
 		double r = rank(what, p->node, p->weight);
 
-		if (serves(p) && p->started_us <= latest && r > most) {
+		if (serves(p) && p->started_us <= latest && r > best_rank) {
 			best = p->node;
-			most = r;
+			best_rank = r;
 		}
 	}
 	return best;
 }
 
 /*
- * Where the one that ran longest is lost, it is heard of for a beat more, and
- * none is old enough: then the first of any age, so that not each does its own.
+ * When the longest running entry is lost, its start time is still in the
+ * heartbeats of others for one interval, and no entry has run for long enough.
+ * Then the first of the order with any start time is chosen, so that not every
+ * entry does its own work.
  */
 const char *
 mh_mesh_home(struct mh_mesh *m, const char *what)
@@ -199,7 +216,7 @@
 mh_mesh_unsettled_us(struct mh_mesh *m)
 {
 	mh_mesh_look(m);
-	return MAX(mh_mesh_begun_us(m) + UNSETTLED_US - mh_now(m->k), 0);
+	return MAX(mh_mesh_begun_us(m) + SETTLE_US - mh_now(m->k), 0);
 }
 
 bool
@@ -246,9 +263,10 @@
 }
 
 /*
- * The first of the order that the platform answers; they are linked to all
- * who would fall back on them.  Whom it does not answer reads only while
- * nobody before it could: a few seek it, in case it answers nobody.
+ * The readers are the first READERS of the order that the platform answers; all
+ * entries that would choose them as coordinators are linked to them. An entry
+ * that the platform doesn't answer keeps trying only if it is among the first
+ * POLLERS.
  */
 bool
 mh_mesh_reads(struct mh_mesh *m)
@@ -257,9 +275,9 @@
 	bool answered = m->view.reads != NULL && m->view.reads(m->view.arg);
 	GHashTableIter it;
 	gpointer key, value;
-	uint32_t readers = 0, seekers = 0;
+	uint32_t readers = 0, pollers = 0;
 
-	/* Those that start together have not heard of each other yet. */
+	/* Entries that start together have no heartbeats of each other yet. */
 	if (mh_mesh_unsettled_us(m) > 0)
 		return false;
 	g_hash_table_iter_init(&it, m->peers);
@@ -270,9 +288,9 @@
 		    rank(MH_STAGE_WORK, p->node, p->weight) <= mine)
 			continue;
 		readers += p->reads;
-		seekers++;
+		pollers++;
 	}
-	return readers < READERS && (answered || seekers < SEEKERS);
+	return readers < READERS && (answered || pollers < POLLERS);
 }
 
 bool
@@ -292,12 +310,12 @@
 		known++;
 		before += rank(MH_STAGE_WORK, p->node, p->weight) > mine;
 	}
-	return known > 0 && before < DIALLED;
+	return known > 0 && before < LINKED_FIRST;
 }
 
-/* It can be a home for us, or may as far as we know. */
+/* Whether it can coordinate our work, or may as far as we know. */
 static bool
-may_serve(const struct peer *p, int64_t latest)
+may_coordinate(const struct peer *p, int64_t latest)
 {
 	if (!mh_peer_alive(p))
 		return mh_peer_known(p) && !p->failed;
@@ -305,33 +323,33 @@
 	    (p->ready || mh_now(p->m->k) - p->started_us < STARTING_US);
 }
 
-/* Keeps the highest, the highest first. */
+/* Inserts @r into the highest values, in descending order. */
 static void
-keep_best(double best[TRIED_MOST], double r)
+insert_best(double best[DIALLED_MAX], double r)
 {
-	uint32_t at = TRIED_MOST;
+	uint32_t at = DIALLED_MAX;
 
 	while (at > 0 && best[at - 1] < r)
 		at--;
-	for (uint32_t i = TRIED_MOST - 1; at < TRIED_MOST && i > at; i--)
+	for (uint32_t i = DIALLED_MAX - 1; at < DIALLED_MAX && i > at; i--)
 		best[i] = best[i - 1];
-	if (at < TRIED_MOST)
+	if (at < DIALLED_MAX)
 		best[at] = r;
 }
 
 /*
- * Marks the first few of the order of some work as worth a link of our own.
- * Those that are down, leaving, not ready or too young to be a home don't
- * count: while many restart, the first few of the list may all be gone or have
- * just come back, and every entry would be left alone.
+ * Marks the first @few of the order of @work as peers to link to. Peers that
+ * are down, draining, not ready or started too late to coordinate don't count:
+ * while many restart, the first few of the list may all be down or have just
+ * restarted, and every entry would be left without a usable link.
  */
 static void
-want_first(struct mh_mesh *m, const char *work, uint32_t few)
+select_first(struct mh_mesh *m, const char *work, uint32_t few)
 {
-	struct peer *first[DIALLED] = { NULL };
-	double tried[TRIED_MOST] = { 0 };
+	struct peer *first[LINKED_FIRST] = { NULL };
+	double dialled[DIALLED_MAX] = { 0 };
 	int64_t latest = latest_start(m);
-	double least;
+	double min_rank;
 	GHashTableIter it;
 	gpointer key, value;
 
@@ -342,8 +360,8 @@
 
 		p->rank = rank(work, p->node, p->weight);
 		if (mh_peer_known(p))
-			keep_best(tried, p->rank);
-		if (!may_serve(p, latest))
+			insert_best(dialled, p->rank);
+		if (!may_coordinate(p, latest))
 			continue;
 		while (at > 0 &&
 		    (first[at - 1] == NULL || first[at - 1]->rank < p->rank))
@@ -353,14 +371,17 @@
 		if (at < few)
 			first[at] = p;
 	}
-	/* Who would be among them is tried again, should it be back. */
-	least = first[few - 1] != NULL ? first[few - 1]->rank
-				       : tried[TRIED_MOST - 1];
+	/*
+	 * Also dials unusable peers that would be among them, in case they are
+	 * back.
+	 */
+	min_rank = first[few - 1] != NULL ? first[few - 1]->rank
+					  : dialled[DIALLED_MAX - 1];
 	g_hash_table_iter_init(&it, m->peers);
 	while (g_hash_table_iter_next(&it, &key, &value)) {
 		struct peer *p = value;
 
-		if (mh_peer_known(p) && p->rank >= least)
+		if (mh_peer_known(p) && p->rank >= min_rank)
 			p->wanted = true;
 	}
 }
@@ -377,8 +398,8 @@
 	g_hash_table_iter_init(&it, m->peers);
 	while (g_hash_table_iter_next(&it, &key, &value))
 		((struct peer *)value)->wanted = false;
-	want_first(m, MH_STAGE_WORK, DIALLED);
+	select_first(m, MH_STAGE_WORK, LINKED_FIRST);
 	for (uint32_t i = 0; n > 1 && i < n; i++)
-		want_first(
-		    m, mh_slice_work(work, used[i], m->slices), DIALLED / 2);
+		select_first(m, mh_slice_work(work, used[i], m->slices),
+		    LINKED_FIRST / 2);
 }
--- a/lib/meshtold.c
+++ b/lib/meshtold.c
@@ -1,27 +1,28 @@
 /**
- * DOC: What entries have read, told among themselves.
+ * DOC: Exchange of what entries have read from the platform.
  *
- * Beats tell revisions; who has an older one asks.
+ * Heartbeats announce revisions; an entry with an older one requests the later.
  */
 
 #include "meshint.h"
 
 /*
- * What one entry sends of its readings between two beats.  All who are linked
- * to a reader ask it at once, and their copies would fill its link, so that
- * what comes behind them is late everywhere.  Those that get none ask again at
- * a later beat.  Rows and the rest are counted apart: while many endpoints
- * register, everybody asks for rows all the time.
+ * Limit of the view bytes that one entry sends between two heartbeats. All
+ * entries linked to a reader send requests at once, and the answers would fill
+ * its link and delay every frame queued behind them. Entries that get no answer
+ * retry at a later heartbeat. Rows and the rest are counted apart: while many
+ * endpoints register, every entry requests rows all the time.
  */
-#define BYTES_A_BEAT (256 * 1024)
-#define ASK_AGAIN_US (400 * MH_US_PER_MS)
+#define HEARTBEAT_BYTES (256 * 1024)
+#define RETRY_US (400 * MH_US_PER_MS)
 /*
- * One entry is asked for one kind of reading at a time: all that have it would
- * answer, and their copies fill the links of 10 Mbit/s that requests come by.
+ * Each kind of data is requested from one peer at a time: all peers that have
+ * it would answer, and the copies would fill the link of 10 Mbit/s that client
+ * requests arrive by.
  */
 #define ANSWER_WAIT_US (150 * MH_US_PER_MS)
-/* An answer of which bytes come is waited for, so long at most. */
-#define COMING_US (3 * MH_US_PER_S)
+/* An answer that is arriving is awaited for this long at most. */
+#define ARRIVING_US (3 * MH_US_PER_S)
 
 uint64_t
 mh_mesh_evacuated_revision(const struct mh_mesh *m)
@@ -31,9 +32,12 @@
 	    : m->view.evacuated_revision(m->view.arg);
 }
 
-/* From the first word of a later one on, however often it changes again. */
+/*
+ * The configuration is stale from the first announcement of a later one on,
+ * however often it changes after that.
+ */
 static void
-note_conf_heard(struct mh_mesh *m, uint64_t revision)
+note_conf_revision(struct mh_mesh *m, uint64_t revision)
 {
 	if (revision <= m->conf_heard)
 		return;
@@ -74,7 +78,7 @@
 {
 	if (!mh_mesh_conf_behind(m))
 		return 0;
-	/* It was heard of when it was; 0 would mean that none was. */
+	/* At least 1, since 0 would mean that it is current. */
 	return MAX(mh_now(m->k) - MAX(m->conf_behind_us, m->woke_us), 1);
 }
 
@@ -86,7 +90,7 @@
 		mh_mesh_beat(m, 0);
 }
 
-/* A later list that says the same is of no use. */
+/* A list with a later revision and the same hash isn't requested. */
 static bool
 wants_entries(const struct mh_mesh *m, const Mh__Beat *b)
 {
@@ -97,74 +101,76 @@
 }
 
 /*
- * A process that the store turns away still learns of a new configuration
- * and of leaving endpoints: from whoever has read them.
+ * An entry whose requests the store refuses still receives a new configuration
+ * and the draining of endpoints, from the entries that have read them.
  */
 void
 mh_mesh_compare_views(struct mh_mesh *m, struct peer *p, const Mh__Beat *b)
 {
 	Mh__Frame f = MH__FRAME__INIT;
-	Mh__ViewAsk ask = MH__VIEW_ASK__INIT;
+	Mh__ViewAsk req = MH__VIEW_ASK__INIT;
 	int64_t now = mh_now(m->k);
 
 	if (m->view.conf_revision == NULL)
 		return;
-	note_conf_heard(m, b->conf_revision);
+	note_conf_revision(m, b->conf_revision);
 	if (b->rows_revision == m->view.rows_revision(m->view.arg))
 		m->view.rows_same(m->view.arg, (int64_t)b->rows_age_us);
-	if (now - p->asked_us < ASK_AGAIN_US && p->asked_us != 0)
+	if (now - p->asked_us < RETRY_US && p->asked_us != 0)
 		return;
-	ask.conf = b->conf_revision > m->view.conf_revision(m->view.arg) &&
+	req.conf = b->conf_revision > m->view.conf_revision(m->view.arg) &&
 	    now >= m->conf_asked_us + ANSWER_WAIT_US;
-	ask.rows = b->rows_revision > m->view.rows_revision(m->view.arg) &&
+	req.rows = b->rows_revision > m->view.rows_revision(m->view.arg) &&
 	    m->view.rows_due(m->view.arg) &&
 	    now >= m->rows_asked_us + ANSWER_WAIT_US;
-	ask.evacuated = b->evacuated_revision > mh_mesh_evacuated_revision(m);
-	ask.entries = wants_entries(m, b);
-	if (!ask.conf && !ask.rows && !ask.evacuated && !ask.entries)
+	req.evacuated = b->evacuated_revision > mh_mesh_evacuated_revision(m);
+	req.entries = wants_entries(m, b);
+	if (!req.conf && !req.rows && !req.evacuated && !req.entries)
 		return;
 	p->asked_us = p->asked_first_us = now;
-	p->asked = (ask.conf ? ASKED_CONF : 0) | (ask.rows ? ASKED_ROWS : 0) |
-	    (ask.entries ? ASKED_ENTRIES : 0);
-	if (ask.entries)
+	p->asked = (req.conf ? ASKED_CONF : 0) | (req.rows ? ASKED_ROWS : 0) |
+	    (req.entries ? ASKED_ENTRIES : 0);
+	if (req.entries)
 		m->entries_asked_us = now;
-	if (ask.conf) {
+	if (req.conf) {
 		m->conf_asked_us = now;
-		ask.conf_since = m->view.conf_revision(m->view.arg);
+		req.conf_since = m->view.conf_revision(m->view.arg);
 		mh_event(m->k, "conf-asked",
 		    "node=%s revision=%" PRIu64 " have=%" PRIu64
 		    " behind_ms=%" PRId64,
-		    p->node, b->conf_revision, ask.conf_since,
+		    p->node, b->conf_revision, req.conf_since,
 		    mh_ms(mh_mesh_conf_behind_us(m)));
 	}
-	if (ask.rows) {
+	if (req.rows) {
 		m->rows_asked_us = now;
-		ask.rows_since = m->view.rows_have(m->view.arg);
+		req.rows_since = m->view.rows_have(m->view.arg);
 	}
-	ask.packed = true;
+	req.packed = true;
 	f.body_case = MH__FRAME__BODY_VIEW_ASK;
-	f.view_ask = &ask;
+	f.view_ask = &req;
 	mh_mesh_send_conn(m, mh_peer_link(p), &f);
 }
 
-/* What of it is answered now; the rest is asked for again. */
+/*
+ * The part of a request that is answered now; the requester retries the rest.
+ */
 static Mh__ViewAsk
-answered_now(struct mh_mesh *m, const Mh__ViewAsk *ask)
+limit_request(struct mh_mesh *m, const Mh__ViewAsk *req)
 {
-	Mh__ViewAsk some = *ask;
-	bool full = m->told_bytes >= BYTES_A_BEAT;
+	Mh__ViewAsk some = *req;
+	bool full = m->told_bytes >= HEARTBEAT_BYTES;
 
-	some.conf = ask->conf && !full;
-	some.entries = ask->entries && !full;
-	some.rows = ask->rows && m->rows_bytes < BYTES_A_BEAT;
-	if (some.conf != ask->conf || some.rows != ask->rows ||
-	    some.entries != ask->entries)
+	some.conf = req->conf && !full;
+	some.entries = req->entries && !full;
+	some.rows = req->rows && m->rows_bytes < HEARTBEAT_BYTES;
+	if (some.conf != req->conf || some.rows != req->rows ||
+	    some.entries != req->entries)
 		mh_count(m->k, "views_put_off", 1);
 	return some;
 }
 
 static void
-set_bytes(ProtobufCBinaryData *to, GBytes *from)
+set_wire_bytes(ProtobufCBinaryData *to, GBytes *from)
 {
 	if (from != NULL)
 		to->data =
@@ -172,7 +178,7 @@
 }
 
 static void
-free_shared(struct mh_shared *s)
+clear_reply(struct mh_shared *s)
 {
 	mh_bytes_clear(&s->conf);
 	mh_bytes_clear(&s->rows);
@@ -180,7 +186,7 @@
 }
 
 void
-mh_mesh_answer_view(struct mh_mesh *m, struct peer *p, const Mh__ViewAsk *ask)
+mh_mesh_answer_view(struct mh_mesh *m, struct peer *p, const Mh__ViewAsk *req)
 {
 	Mh__Frame f = MH__FRAME__INIT;
 	Mh__View v = MH__VIEW__INIT;
@@ -189,15 +195,15 @@
 
 	if (m->view.fill == NULL)
 		return;
-	some = answered_now(m, ask);
+	some = limit_request(m, req);
 	if (!some.conf && !some.rows && !some.evacuated && !some.entries)
 		return;
 	m->view.fill(m->view.arg, &some, &s);
 	v.conf_revision = m->view.conf_revision(m->view.arg);
 	v.rows_revision = m->view.rows_revision(m->view.arg);
-	set_bytes(&v.conf, s.conf);
-	set_bytes(&v.rows, s.rows);
-	set_bytes(&v.entries, s.entries);
+	set_wire_bytes(&v.conf, s.conf);
+	set_wire_bytes(&v.rows, s.rows);
+	set_wire_bytes(&v.entries, s.entries);
 	v.packed = s.packed;
 	v.conf_base = s.conf_base;
 	if (s.entries != NULL)
@@ -212,10 +218,9 @@
 	f.body_case = MH__FRAME__BODY_VIEW;
 	f.view = &v;
 	mh_mesh_send_conn(m, mh_peer_link(p), &f);
-	free_shared(&s);
+	clear_reply(&s);
 }
 
-/* What another entry answers. */
 void
 mh_mesh_take_view(struct mh_mesh *m, struct peer *p, const Mh__View *v)
 {
@@ -237,13 +242,13 @@
 		m->view.take(m->view.arg, v);
 }
 
-/* Bytes of an answer that we wait for: another's would only slow it down. */
+/* While an answer is arriving, a second one would only slow it down. */
 void
 mh_mesh_answer_comes(struct mh_mesh *m, struct peer *p)
 {
 	int64_t now = mh_now(m->k);
 
-	if (p->asked == 0 || now - p->asked_first_us >= COMING_US)
+	if (p->asked == 0 || now - p->asked_first_us >= ARRIVING_US)
 		return;
 	p->asked_us = now;
 	if (p->asked & ASKED_CONF)
@@ -254,7 +259,6 @@
 		m->entries_asked_us = now;
 }
 
-/* A beat later, as many bytes may be told again. */
 void
 mh_mesh_told_anew(struct mh_mesh *m)
 {
--- a/lib/pack.c
+++ b/lib/pack.c
@@ -1,5 +1,5 @@
 /**
- * DOC: Documents packed for the way between entries.
+ * DOC: Compression of documents sent between entries.
  */
 
 #include "mesh.h"
@@ -16,7 +16,10 @@
 	*b = NULL;
 }
 
-/* A window over both, so that any part of the base can be referred to. */
+/*
+ * The window covers base and document, so that any part of the base can be
+ * referred to.
+ */
 static int
 window_log(size_t len)
 {
@@ -29,7 +32,7 @@
 }
 
 static bool
-set_up(ZSTD_CCtx *c, size_t len, const GBytes *base)
+set_params(ZSTD_CCtx *c, size_t len, const GBytes *base)
 {
 	gsize n = 0;
 	const void *data;
@@ -56,7 +59,7 @@
 	uint8_t *out = g_malloc(n);
 	bool ok = false;
 
-	if (c == NULL || len == 0 || !set_up(c, len, base))
+	if (c == NULL || len == 0 || !set_params(c, len, base))
 		goto done;
 	n = ZSTD_compress2(c, out, n, data, len);
 	ok = !ZSTD_isError(n);
@@ -77,7 +80,10 @@
 	gsize n = 0;
 	bool ok = false;
 
-	/* The two errors of that call are the largest numbers. */
+	/*
+	 * ZSTD_CONTENTSIZE_UNKNOWN and ZSTD_CONTENTSIZE_ERROR are the largest
+	 * values.
+	 */
 	if (size == 0 || size > most)
 		goto done;
 	c = ZSTD_createDCtx();
--- a/lib/past.c
+++ b/lib/past.c
@@ -1,26 +1,28 @@
 /**
- * DOC: A document's last texts, and what changed from each to the latest.
+ * DOC: Recent revisions of a document, and the changes from each to the latest.
  *
- * Who has one of these texts is sent the change alone, so that what a change
- * costs does not grow with the document.
+ * A receiver that has one of these revisions is sent the change alone, so that
+ * the cost of a change doesn't grow with the document.
  */
 
 #include "mesh.h"
 
-/* Texts kept at most; who has an older one is sent the whole. */
-#define TEXTS_MOST 8
-#define BYTES_MOST (4U << 20)
+/*
+ * Revisions kept at most; a receiver with an older one is sent the whole text.
+ */
+#define MAX_REVISIONS 8
+#define MAX_BYTES (4U << 20)
 
-struct text {
+struct revision {
 	uint64_t revision;
 	GBytes *bytes;
-	GBytes *packed; /* the latest by this one; NULL: not asked for yet */
+	GBytes *packed; /* latest text against it; NULL: none yet */
 };
 
 struct mh_past {
-	struct text t[TEXTS_MOST]; /* the latest first */
+	struct revision t[MAX_REVISIONS]; /* latest first */
 	uint32_t n;
-	GBytes *packed; /* the latest alone */
+	GBytes *packed; /* the latest text packed without a base */
 };
 
 struct mh_past *
@@ -30,9 +32,9 @@
 }
 
 static void
-drop_last(struct mh_past *p)
+drop_oldest(struct mh_past *p)
 {
-	struct text *t = &p->t[--p->n];
+	struct revision *t = &p->t[--p->n];
 
 	mh_bytes_clear(&t->bytes);
 	mh_bytes_clear(&t->packed);
@@ -44,7 +46,7 @@
 	if (p == NULL)
 		return;
 	while (p->n > 0)
-		drop_last(p);
+		drop_oldest(p);
 	mh_bytes_clear(&p->packed);
 	g_free(p);
 }
@@ -65,12 +67,12 @@
 	for (uint32_t i = 0; i < p->n; i++)
 		mh_bytes_clear(&p->t[i].packed);
 	mh_bytes_clear(&p->packed);
-	while (
-	    p->n == TEXTS_MOST || (p->n > 1 && bytes_of(p) + len > BYTES_MOST))
-		drop_last(p);
+	while (p->n == MAX_REVISIONS ||
+	    (p->n > 1 && bytes_of(p) + len > MAX_BYTES))
+		drop_oldest(p);
 	for (uint32_t i = p->n; i > 0; i--)
 		p->t[i] = p->t[i - 1];
-	p->t[0] = (struct text) { revision, g_bytes_new(data, len), NULL };
+	p->t[0] = (struct revision) { revision, g_bytes_new(data, len), NULL };
 	p->n++;
 }
 
@@ -90,7 +92,7 @@
 	return p->n == 0 ? NULL : p->t[0].bytes;
 }
 
-/* Packs the latest into @packed where it is not there yet. */
+/* Packs the latest text into @packed unless it already is there. */
 static GBytes *
 pack_latest(const struct mh_past *p, GBytes **packed, const GBytes *base)
 {
