--- a/regress/entries.c
+++ b/regress/entries.c
@@ -10,12 +10,12 @@
 #define S MH_US_PER_S
 
 static struct ment *
-by_node(struct mrig *r, const char *node)
+find_ment(struct mrig *r, const char *node)
 {
 	return &r->e[node[1] - '0'];
 }
 
-/* Connection ids name both ends: dialer * 100 + other, inbound + 1000000. */
+/* Connection ids name both entries: dialer * 10 + other, inbound + 1000000. */
 static struct ment *
 other_end(struct ment *e, uint64_t conn)
 {
@@ -31,8 +31,8 @@
 }
 
 static void
-tell(struct ment *e, enum mh_msg_kind kind, uint64_t conn, struct ment *peer,
-    bool inbound, GBytes *frame)
+post_link(struct ment *e, enum mh_msg_kind kind, uint64_t conn,
+    struct ment *peer, bool inbound, GBytes *frame)
 {
 	struct mh_msg *m = mh_msg_new(kind);
 
@@ -49,27 +49,27 @@
 
 struct link {
 	struct ment *e;
-	GHashTable *ids; /* the mesh's dial id -> ours */
-	GHashTable *back;
+	GHashTable *pair_ids; /* dial id of the mesh -> id of both entries */
+	GHashTable *dial_ids;
 };
 
 static uint64_t
-ours(struct link *l, uint64_t id)
+to_pair_id(struct link *l, uint64_t id)
 {
-	uint64_t *v = g_hash_table_lookup(l->ids, &id);
+	uint64_t *v = g_hash_table_lookup(l->pair_ids, &id);
 
 	return v != NULL ? *v : id;
 }
 
 static uint64_t
-theirs(struct link *l, uint64_t id)
+to_dial_id(struct link *l, uint64_t id)
 {
-	uint64_t *v = g_hash_table_lookup(l->back, &id);
+	uint64_t *v = g_hash_table_lookup(l->dial_ids, &id);
 
 	return v != NULL ? *v : id;
 }
 
-/** struct opening - a dial that takes its time. */
+/** struct opening - a dial that is not connected yet. */
 struct opening {
 	struct link *l;
 	struct ment *to;
@@ -83,13 +83,13 @@
 	struct ment *e = l->e;
 	uint64_t id = e->index * 10 + to->index;
 
-	g_hash_table_replace(l->ids, g_memdup2(&dialled, sizeof(dialled)),
+	g_hash_table_replace(l->pair_ids, g_memdup2(&dialled, sizeof(dialled)),
 	    g_memdup2(&id, sizeof(id)));
-	g_hash_table_replace(l->back, g_memdup2(&id, sizeof(id)),
+	g_hash_table_replace(l->dial_ids, g_memdup2(&id, sizeof(id)),
 	    g_memdup2(&dialled, sizeof(dialled)));
 	e->dialled++;
-	tell(e, MH_MSG_LINK_UP, dialled, to, false, NULL);
-	tell(to, MH_MSG_LINK_UP, mirror(id), e, true, NULL);
+	post_link(e, MH_MSG_LINK_UP, dialled, to, false, NULL);
+	post_link(to, MH_MSG_LINK_UP, mirror(id), e, true, NULL);
 }
 
 static void
@@ -103,7 +103,7 @@
 		return;
 	if (to->down || e->cut || to->cut ||
 	    mh_kern_get(to->k, "link") == NULL) {
-		tell(e, MH_MSG_LINK_DOWN, m->conn, to, false, NULL);
+		post_link(e, MH_MSG_LINK_DOWN, m->conn, to, false, NULL);
 		return;
 	}
 	if (to->opens_us == 0)
@@ -112,9 +112,9 @@
 		g_ptr_array_add(e->r->opening, g_memdup2(&o, sizeof(o)));
 }
 
-/* True when the dial had not opened yet; it never will. */
+/* Cancels a dial; returns false if none is pending. */
 static bool
-give_up(struct link *l, uint64_t dialled)
+cancel_dial(struct link *l, uint64_t dialled)
 {
 	GPtrArray *all = l->e->r->opening;
 
@@ -129,15 +129,18 @@
 	return false;
 }
 
-/* A dial that nobody took: its VM has no power, or does not run. */
+/*
+ * Whether @conn is a dial that never connected: its VM is powered off or
+ * frozen.
+ */
 static bool
 never_opened(const struct link *l, uint64_t conn)
 {
-	return conn < 1000000 && !g_hash_table_contains(l->ids, &conn);
+	return conn < 1000000 && !g_hash_table_contains(l->pair_ids, &conn);
 }
 
 static void
-open_due(struct mrig *r)
+open_due_links(struct mrig *r)
 {
 	for (guint i = 0; i < r->opening->len;) {
 		struct opening *o = g_ptr_array_index(r->opening, i);
@@ -151,9 +154,12 @@
 	}
 }
 
-/* A process of before takes every result that it is told of for made. */
+/*
+ * Counts empty results sent in the field of complete stages: a process of an
+ * earlier version takes all of these for computed.
+ */
 static void
-count_holes(struct mrig *r, const Mh__Frame *f)
+count_empty_results(struct mrig *r, const Mh__Frame *f)
 {
 	for (size_t s = 0;
 	     f->body_case == MH__FRAME__BODY_JOB && s < f->job->n_stages; s++) {
@@ -170,35 +176,35 @@
 	Mh__Frame *f = mh_frame_unpack(frame);
 	bool lost = e->lose_views > 0 && f->body_case == MH__FRAME__BODY_VIEW;
 
-	count_holes(e->r, f);
+	count_empty_results(e->r, f);
 	e->r->poison_frames += f->body_case == MH__FRAME__BODY_POISON;
 	e->lose_views -= lost;
 	mh_frame_free(f);
 	return lost;
 }
 
-/** struct on_way - a frame that takes its time. */
-struct on_way {
+/** struct flight - a frame that has not arrived completely. */
+struct flight {
 	struct ment *from;
 	struct ment *to;
 	uint64_t conn; /* the receiver's */
 	GBytes *frame;
-	int64_t from_us; /* its first byte arrives */
+	int64_t first_us; /* arrival of its first byte */
 	int64_t at_us;
 };
 
 static void
-free_on_way(void *arg)
+free_flight(void *arg)
 {
-	struct on_way *w = arg;
+	struct flight *w = arg;
 
 	g_bytes_unref(w->frame);
 	g_free(w);
 }
 
-/* When the last byte of a frame has left its sender. */
+/* Returns when the last byte of a frame is sent. */
 static int64_t
-left_at_us(struct ment *from, const GBytes *frame)
+send_end_us(struct ment *from, const GBytes *frame)
 {
 	size_t len = g_bytes_get_size((GBytes *)(uintptr_t)frame);
 
@@ -213,12 +219,12 @@
 static void
 deliver(struct ment *from, struct ment *to, uint64_t conn, GBytes *frame)
 {
-	int64_t from_us = MAX(from->busy_until_us, from->r->now_us);
-	struct on_way w = { from, to, conn, frame, from_us + to->delay_us,
-		left_at_us(from, frame) + to->delay_us };
+	int64_t first_us = MAX(from->busy_until_us, from->r->now_us);
+	struct flight w = { from, to, conn, frame, first_us + to->delay_us,
+		send_end_us(from, frame) + to->delay_us };
 
 	if (w.at_us == to->r->now_us) {
-		tell(to, MH_MSG_FRAME, conn, from, false, frame);
+		post_link(to, MH_MSG_FRAME, conn, from, false, frame);
 		return;
 	}
 	g_bytes_ref(frame);
@@ -226,31 +232,32 @@
 }
 
 static void
-arrive_due(struct mrig *r)
+deliver_due_frames(struct mrig *r)
 {
 	for (guint i = 0; i < r->on_way->len;) {
-		struct on_way *w = g_ptr_array_index(r->on_way, i);
+		struct flight *w = g_ptr_array_index(r->on_way, i);
 
 		if (w->at_us > r->now_us) {
-			if (w->from_us < r->now_us)
-				tell(w->to, MH_MSG_LINK_HEARD, w->conn, w->from,
-				    false, NULL);
+			if (w->first_us < r->now_us)
+				post_link(w->to, MH_MSG_LINK_HEARD, w->conn,
+				    w->from, false, NULL);
 			i++;
 			continue;
 		}
-		tell(w->to, MH_MSG_FRAME, w->conn, w->from, false, w->frame);
+		post_link(
+		    w->to, MH_MSG_FRAME, w->conn, w->from, false, w->frame);
 		g_ptr_array_remove_index(r->on_way, i);
 	}
 }
 
-/* What was on its way is lost with the connection. */
+/* Drops the frames in flight with the connection. */
 static void
-lose_on_way(struct ment *to, uint64_t conn)
+drop_in_flight(struct ment *to, uint64_t conn)
 {
 	GPtrArray *all = to->r->on_way;
 
 	for (guint i = 0; i < all->len;) {
-		const struct on_way *w = g_ptr_array_index(all, i);
+		const struct flight *w = g_ptr_array_index(all, i);
 
 		if (w->to == to && w->conn == conn)
 			g_ptr_array_remove_index(all, i);
@@ -265,7 +272,7 @@
 	struct link *l = self;
 	struct ment *e = l->e, *to;
 	const struct mh_link_msg *m = &msg->u.link;
-	uint64_t id = ours(l, m->conn);
+	uint64_t id = to_pair_id(l, m->conn);
 	struct link *tl;
 
 	switch (msg->kind) {
@@ -280,19 +287,19 @@
 		tl = mh_kern_get(to->k, "link");
 		if (tl == NULL)
 			break;
-		deliver(e, to, theirs(tl, mirror(id)), m->frame);
+		deliver(e, to, to_dial_id(tl, mirror(id)), m->frame);
 		break;
 	case MH_MSG_LINK_CLOSE:
-		if (give_up(l, m->conn) || never_opened(l, m->conn))
+		if (cancel_dial(l, m->conn) || never_opened(l, m->conn))
 			break;
 		to = other_end(e, id);
 		tl = mh_kern_get(to->k, "link");
-		lose_on_way(e, m->conn);
+		drop_in_flight(e, m->conn);
 		if (tl != NULL)
-			lose_on_way(to, theirs(tl, mirror(id)));
+			drop_in_flight(to, to_dial_id(tl, mirror(id)));
 		if (tl != NULL && !e->cut && !to->cut && !to->down && !to->off)
-			tell(to, MH_MSG_LINK_DOWN, theirs(tl, mirror(id)), e,
-			    false, NULL);
+			post_link(to, MH_MSG_LINK_DOWN,
+			    to_dial_id(tl, mirror(id)), e, false, NULL);
 		break;
 	default:
 		break;
@@ -304,8 +311,8 @@
 {
 	struct link *l = self;
 
-	g_hash_table_destroy(l->ids);
-	g_hash_table_destroy(l->back);
+	g_hash_table_destroy(l->pair_ids);
+	g_hash_table_destroy(l->dial_ids);
 	g_free(l);
 }
 
@@ -372,7 +379,10 @@
 	return ((struct ment *)arg)->evacuated_revision;
 }
 
-/* A version that changes, and routes as an operator adds them by thousands. */
+/*
+ * A version that changes, and routes as in an operator's configuration with
+ * thousands of them.
+ */
 static GBytes *
 conf_text(uint64_t revision, uint32_t len)
 {
@@ -401,7 +411,7 @@
 }
 
 static void
-fill_conf(const struct ment *e, const Mh__ViewAsk *ask, struct mh_shared *out)
+fill_conf(const struct ment *e, const Mh__ViewAsk *req, struct mh_shared *out)
 {
 	GBytes *text, *base = NULL;
 
@@ -410,11 +420,11 @@
 		return;
 	}
 	text = conf_text(e->conf, e->conf_len);
-	out->packed = ask->packed;
-	out->conf_base = ask->conf_since;
-	if (ask->conf_since != 0)
-		base = conf_text(ask->conf_since, e->conf_len);
-	out->conf = ask->packed ? mh_pack(text, base) : g_bytes_ref(text);
+	out->packed = req->packed;
+	out->conf_base = req->conf_since;
+	if (req->conf_since != 0)
+		base = conf_text(req->conf_since, e->conf_len);
+	out->conf = req->packed ? mh_pack(text, base) : g_bytes_ref(text);
 	mh_bytes_clear(&base);
 	g_bytes_unref(text);
 }
@@ -439,21 +449,21 @@
 }
 
 static void
-v_fill(void *arg, const Mh__ViewAsk *ask, struct mh_shared *out)
+v_fill(void *arg, const Mh__ViewAsk *req, struct mh_shared *out)
 {
 	struct ment *e = arg;
 	static const char *domains[2];
 
 	domains[0] = e->evacuated[0] == '\0' ? NULL : e->evacuated;
-	if (ask->evacuated)
+	if (req->evacuated)
 		out->evacuated = domains;
 
-	if (ask->entries)
+	if (req->entries)
 		out->entries =
 		    g_bytes_new(&e->entries_hash, sizeof(e->entries_hash));
-	if (ask->conf)
-		fill_conf(e, ask, out);
-	if (ask->rows && e->rows_len > 0)
+	if (req->conf)
+		fill_conf(e, req, out);
+	if (req->rows && e->rows_len > 0)
 		out->rows =
 		    g_bytes_new_take(g_malloc0(e->rows_len), e->rows_len);
 }
@@ -488,9 +498,9 @@
 	struct link *l = g_new0(struct link, 1);
 
 	l->e = e;
-	l->ids =
+	l->pair_ids =
 	    g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, g_free);
-	l->back =
+	l->dial_ids =
 	    g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, g_free);
 	mh_kern_add(e->k, "link", l, link_handle, link_free);
 }
@@ -517,9 +527,9 @@
 {
 	for (int64_t t = 0; t < us; t += 10 * MS) {
 		r->now_us += 10 * MS;
-		open_due(r);
-		arrive_due(r);
-		for (int round = 0; round < 4; round++) {
+		open_due_links(r);
+		deliver_due_frames(r);
+		for (int pass = 0; pass < 4; pass++) {
 			for (uint32_t i = 0; i < ENTRIES; i++) {
 				if (!r->e[i].down && !r->e[i].off &&
 				    !r->e[i].frozen)
@@ -538,7 +548,7 @@
 	r->now_us = S;
 	r->members = g_ptr_array_new();
 	r->opening = g_ptr_array_new_with_free_func(g_free);
-	r->on_way = g_ptr_array_new_with_free_func(free_on_way);
+	r->on_way = g_ptr_array_new_with_free_func(free_flight);
 	for (uint32_t i = 0; i < ENTRIES; i++) {
 		struct mh_member *m = g_new0(struct mh_member, 1);
 
@@ -582,11 +592,10 @@
 	return mh_mesh_home(e->m, "stage-work");
 }
 
-/* The home that all live entries name, or NULL when they differ. */
 struct ment *
 mrig_agreed(struct mrig *r)
 {
-	const char *home = NULL;
+	const char *coordinator = NULL;
 
 	for (uint32_t i = 0; i < ENTRIES; i++) {
 		const char *h;
@@ -595,30 +604,29 @@
 		    r->e[i].frozen)
 			continue;
 		h = mrig_home(&r->e[i]);
-		if (home != NULL && strcmp(home, h) != 0)
+		if (coordinator != NULL && strcmp(coordinator, h) != 0)
 			return NULL;
-		home = h;
+		coordinator = h;
 	}
-	return home == NULL ? NULL : by_node(r, home);
+	return coordinator == NULL ? NULL : find_ment(r, coordinator);
 }
 
-/* Sends an ask for the configuration, or for rows, to an entry. */
 void
 mrig_ask_view(struct ment *e, struct ment *to, bool conf)
 {
 	struct link *l = mh_kern_get(e->k, "link");
 	uint64_t id = e->index * 10 + to->index;
 	Mh__Frame f = MH__FRAME__INIT;
-	Mh__ViewAsk ask = MH__VIEW_ASK__INIT;
+	Mh__ViewAsk req = MH__VIEW_ASK__INIT;
 	struct mh_msg *m = mh_msg_new(MH_MSG_LINK_SEND);
 
-	ask.conf = conf;
-	ask.rows = !conf;
+	req.conf = conf;
+	req.rows = !conf;
 	f.body_case = MH__FRAME__BODY_VIEW_ASK;
-	f.view_ask = &ask;
-	if (g_hash_table_lookup(l->back, &id) == NULL)
+	f.view_ask = &req;
+	if (g_hash_table_lookup(l->dial_ids, &id) == NULL)
 		id = mirror(to->index * 10 + e->index);
-	m->u.link.conn = theirs(l, id);
+	m->u.link.conn = to_dial_id(l, id);
 	m->u.link.frame = mh_frame_pack(&f);
 	mh_post(e->k, "link", m);
 }
--- a/regress/entwork.c
+++ b/regress/entwork.c
@@ -1,5 +1,5 @@
 /**
- * DOC: The stage work of linked entries, whose endpoints answer at once.
+ * DOC: Stage work of linked entries, whose endpoints answer at once.
  */
 
 #include "entwork.h"
--- a/regress/entwork.h
+++ b/regress/entwork.h
@@ -4,25 +4,30 @@
 #include "entries.h"
 #include "world.h"
 
-/** struct ent - the stage work of one entry; calls end at once, or never
- * where its frames are lost. */
+/**
+ * struct ent - stage work of one entry; calls end at once, or never while its
+ * frames are lost.
+ */
 struct ent {
 	struct ment *m;
 	struct world *w;
 	struct mh_cells *cs;
 	struct mh_broker *b;
-	const char *stalled; /* calls of this pool do not end; NULL: all do */
-	uint32_t passes; /* so many of these end all the same */
+	const char *stalled; /* calls of this pool don't end; NULL: all do */
+	uint32_t passes; /* calls of it that still end */
 	uint32_t calls;
-	uint32_t pieces; /* in these */
-	uint32_t calls_b; /* of these, of the second pool */
-	uint32_t freed; /* results */
+	uint32_t pieces; /* in the calls */
+	uint32_t calls_b; /* of the calls, those of pool "b" */
+	uint32_t freed; /* results freed */
 	uint32_t ended; /* jobs that were submitted here */
-	uint32_t done; /* of these */
-	uint32_t held; /* of these, since endpoints end under their requests */
+	uint32_t done; /* of these, successful */
+	uint32_t held; /* of these, refused as quarantined */
 };
 
-/** ent_create() - for a running entry: pools "a" and "b", and its cells. */
+/**
+ * ent_create() - creates pools "a" and "b", the stage schedulers and the broker
+ * of a running entry.
+ */
 void ent_create(struct ent *e, struct ment *m);
 void ent_destroy(struct ent *e);
 
--- a/regress/t_handon.c
+++ b/regress/t_handon.c
@@ -1,6 +1,6 @@
 /**
- * DOC: Begun stage work that goes from home to home, at other moments and
- * loads than those at which faults of it were seen.
+ * DOC: Handoff of begun stage work between coordinators, at random moments and
+ * under varied loads.
  */
 
 #include "entwork.h"
@@ -14,34 +14,37 @@
 #define STAGES_MOST 5
 #define PIECES_MOST 8
 #define CALLS_MOST 4
-/* An endpoint has not read what a call needs yet, or has for certain. */
+/*
+ * By then an endpoint has not yet read the inputs of a call, or has for
+ * certain.
+ */
 #define UNREAD_US (20 * MS)
 #define READ_US (100 * MS)
 
 static const char *const names[] = { "a", "b" };
 
-/** struct handon - one job of an entry, begun at the home. */
-struct handon {
+/** struct handoff - one job of an entry, begun at the coordinator. */
+struct handoff {
 	GRand *rand;
 	struct mrig *r;
 	struct ent all[ENTRIES];
-	struct ent *asker;
-	struct ent *home;
-	struct mh_cell *cell; /* the home's */
-	struct mh_job *asked; /* the asker's */
-	struct mh_job *begun; /* the home's; NULL: it has ended */
+	struct ent *requester;
+	struct ent *coordinator;
+	struct mh_cell *cell; /* of the coordinator */
+	struct mh_job *sent; /* at the requester */
+	struct mh_job *remote; /* at the coordinator; NULL: it has ended */
 };
 
-/* A number below @most. */
+/* A random number below @most. */
 static uint32_t
-pick(struct handon *h, uint32_t most)
+pick(struct handoff *h, uint32_t most)
 {
 	return (uint32_t)g_rand_int_range(h->rand, 0, (gint32)most);
 }
 
-/* A chain whose stages read the one before and maybe others. */
+/* A chain whose stages read the previous one and maybe earlier ones. */
 static struct mh_job *
-random_job(struct handon *h)
+random_job(struct handoff *h)
 {
 	const char *pools[STAGES_MOST + 1] = { NULL };
 	uint32_t pieces[STAGES_MOST] = { 0 }, n = 2 + pick(h, STAGES_MOST - 1);
@@ -51,52 +54,52 @@
 		pools[s] = names[pick(h, 2)];
 		pieces[s] = 1 + pick(h, PIECES_MOST);
 	}
-	j = world_job(h->asker->w, pools, pieces, 5 * S, 9 * S);
-	j->aim_us = mh_now(h->asker->m->k) + 5 * S;
-	j->deadline_us = mh_now(h->asker->m->k) + 9 * S;
+	j = world_job(h->requester->w, pools, pieces, 5 * S, 9 * S);
+	j->aim_us = mh_now(h->requester->m->k) + 5 * S;
+	j->deadline_us = mh_now(h->requester->m->k) + 9 * S;
 	for (uint32_t s = 1; s < n; s++)
 		j->stages[s].after = 1U << (s - 1) | pick(h, 1U << s);
 	return j;
 }
 
-/* The next calls of one pool, after some, stay open. */
+/* The next calls of one pool don't end, after some that do. */
 static void
-stall(struct handon *h)
+stall(struct handoff *h)
 {
-	h->home->stalled = names[pick(h, 2)];
-	h->home->passes = pick(h, CALLS_MOST);
+	h->coordinator->stalled = names[pick(h, 2)];
+	h->coordinator->passes = pick(h, CALLS_MOST);
 }
 
-static struct handon *
-handon_create(uint32_t seed)
+static struct handoff *
+handoff_create(uint32_t seed)
 {
-	struct handon *h = g_new0(struct handon, 1);
-	struct ment *home;
+	struct handoff *h = g_new0(struct handoff, 1);
+	struct ment *coordinator;
 
 	h->rand = g_rand_new_with_seed(seed);
 	h->r = mrig_create();
 	for (uint32_t i = 0; i < ENTRIES; i++)
 		ent_create(&h->all[i], &h->r->e[i]);
 	mrig_run(h->r, 2 * S);
-	home = mrig_agreed(h->r);
-	CU_ASSERT_PTR_NOT_NULL_FATAL(home);
-	h->home = &h->all[home->index];
-	h->asker = &h->all[home->index == 0];
-	h->asked = random_job(h);
+	coordinator = mrig_agreed(h->r);
+	CU_ASSERT_PTR_NOT_NULL_FATAL(coordinator);
+	h->coordinator = &h->all[coordinator->index];
+	h->requester = &h->all[coordinator->index == 0];
+	h->sent = random_job(h);
 	stall(h);
-	mh_broker_submit(h->asker->b, h->asked);
+	mh_broker_submit(h->requester->b, h->sent);
 	mrig_run(h->r, UNREAD_US);
-	h->cell = mh_cells_get(h->home->cs, 0, 1);
+	h->cell = mh_cells_get(h->coordinator->cs, 0, 1);
 	if (h->cell->jobs->len > 0)
-		h->begun = g_ptr_array_index(h->cell->jobs, 0);
+		h->remote = g_ptr_array_index(h->cell->jobs, 0);
 	return h;
 }
 
 static void
-handon_destroy(struct handon *h)
+handoff_destroy(struct handoff *h)
 {
-	mh_broker_drop(h->asker->b, h->asked);
-	mh_job_destroy(h->asked);
+	mh_broker_drop(h->requester->b, h->sent);
+	mh_job_destroy(h->sent);
 	mrig_run(h->r, 100 * MS);
 	for (uint32_t i = 0; i < ENTRIES; i++)
 		ent_destroy(&h->all[i]);
@@ -105,9 +108,9 @@
 	g_free(h);
 }
 
-/* The open calls end with all that they were to make. */
+/* Sets results for all pieces of the open calls. */
 static void
-make_results(struct handon *h)
+set_results(struct handoff *h)
 {
 	GHashTableIter it;
 	gpointer key, value;
@@ -132,9 +135,9 @@
 	g_list_free(all);
 }
 
-/* The calls that are open find that some of what they read is gone. */
+/* Ends the open calls with some of their inputs lost. */
 static void
-lose_inputs(struct handon *h)
+lose_inputs(struct handoff *h)
 {
 	GHashTableIter it;
 	gpointer key, value;
@@ -154,12 +157,14 @@
 	end_calls(h->cell, MH_BATCH_DONE);
 	mrig_run(h->r, UNREAD_US);
 	if (h->cell->jobs->len == 0)
-		h->begun = NULL;
+		h->remote = NULL;
 }
 
-/* Pieces that are not made; those in a call count as made, or not. */
+/*
+ * Pieces that are not computed. Those in a call count only if @in_calls is set.
+ */
 static uint32_t
-not_made(const struct mh_job *j, bool in_calls)
+missing_pieces(const struct mh_job *j, bool in_calls)
 {
 	uint32_t n = 0;
 
@@ -169,9 +174,9 @@
 	return n;
 }
 
-/* Pieces of stages that are not made whole: halves of them are not told of. */
+/* Pieces of incomplete stages, whose results are not reported. */
 static uint32_t
-not_told(const struct mh_job *j)
+unreported_pieces(const struct mh_job *j)
 {
 	uint32_t n = 0;
 
@@ -181,97 +186,99 @@
 }
 
 /*
- * The home leaves; its calls are refused, or end when they have been read.
- * Returns the pieces that are due elsewhere.
+ * Drains the coordinator; its calls are refused, or end after their inputs have
+ * been read. Returns the number of pieces to compute elsewhere.
  */
 static uint32_t
-leave(struct handon *h)
+drain(struct handoff *h)
 {
 	bool read = pick(h, 2) == 0;
-	uint32_t due = h->begun == NULL ? 0 : not_made(h->begun, !read);
+	uint32_t due = h->remote == NULL ? 0 : missing_pieces(h->remote, !read);
 
-	mh_mesh_leave(h->home->m->m);
-	mh_cells_leave(h->home->cs);
+	mh_mesh_leave(h->coordinator->m->m);
+	mh_cells_leave(h->coordinator->cs);
 	if (read) {
 		mrig_run(h->r, READ_US);
-		make_results(h);
+		set_results(h);
 	}
 	end_calls(h->cell, read ? MH_BATCH_DONE : MH_BATCH_FULL);
 	return due;
 }
 
-/* The same where it dies. */
+/* The same if the coordinator dies. */
 static uint32_t
-die(struct handon *h)
+die(struct handoff *h)
 {
-	h->home->m->cut = true;
-	return h->begun == NULL ? 0 : not_told(h->begun);
+	h->coordinator->m->cut = true;
+	return h->remote == NULL ? 0 : unreported_pieces(h->remote);
 }
 
 static uint32_t
-made_elsewhere(const struct handon *h)
+computed_elsewhere(const struct handoff *h)
 {
 	uint32_t n = 0;
 
 	for (uint32_t i = 0; i < ENTRIES; i++) {
-		if (&h->all[i] != h->home)
+		if (&h->all[i] != h->coordinator)
 			n += h->all[i].pieces;
 	}
 	return n;
 }
 
-/* Whether the next home makes just what the first one has not. */
+/* Whether the next coordinator computes just what the first one has not. */
 static bool
-goes_on(uint32_t seed, bool dies)
+continues(uint32_t seed, bool dies)
 {
-	struct handon *h = handon_create(seed);
-	uint32_t due, made;
+	struct handoff *h = handoff_create(seed);
+	uint32_t due, computed;
 	bool good;
 
-	for (uint32_t i = pick(h, 4); i > 0 && h->begun != NULL; i--)
+	for (uint32_t i = pick(h, 4); i > 0 && h->remote != NULL; i--)
 		lose_inputs(h);
-	due = dies ? die(h) : leave(h);
+	due = dies ? die(h) : drain(h);
 	mrig_run(h->r, 2 * S);
-	made = made_elsewhere(h);
-	good = made == due && h->asker->done == 1 && h->r->holes == 0;
+	computed = computed_elsewhere(h);
+	good = computed == due && h->requester->done == 1 && h->r->holes == 0;
 	if (!good)
-		fprintf(stderr, "seed %u: %u pieces made elsewhere, %u due\n",
-		    seed, made, due);
-	handon_destroy(h);
+		fprintf(stderr,
+		    "seed %u: %u pieces computed elsewhere, %u expected\n",
+		    seed, computed, due);
+	handoff_destroy(h);
 	return good;
 }
 
 /*
- * A home leaves with any part of a job made, and some of it made again since
- * its results were gone.  Whatever the moment, nothing that is made is made
- * once more, and nothing is left out.
+ * A coordinator drains with any part of a job computed, and some of it again
+ * since its results were lost. At every moment no computed piece may be
+ * computed once more, and none may be left out.
  */
 static void
-test_leaves_at_any_moment(void)
+test_drain_at_any_moment(void)
 {
 	for (uint32_t seed = regress_first(1); seed <= regress_last(60); seed++)
-		CU_ASSERT_TRUE(goes_on(seed, false));
+		CU_ASSERT_TRUE(continues(seed, false));
 }
 
 /*
- * A home dies in the same states.  What it had made in whole stages is known to
- * the entry that asked; what it had found gone was taken for made there, since
- * only stages that are made were told of: told of the inputs of such a stage,
- * the entry forgot them, and gave the next home results that did not exist
- * ("asker told of stage 0: made 1 1 0 kept 0 1 0", stage 1 being gone).
+ * A coordinator dies in the same states. The requester has the results of its
+ * complete stages. A stage whose results were found lost stayed computed at the
+ * requester, since only complete stages were reported: on the results of that
+ * stage's inputs it discarded these, and sent the next coordinator results that
+ * didn't exist. After the report of stage 0 it had stages "1 1 0" as computed
+ * and kept the results of stages "0 1 0", with those of stage 1 lost.
  */
 static void
-test_dies_at_any_moment(void)
+test_crash_at_any_moment(void)
 {
 	for (uint32_t seed = regress_first(1); seed <= regress_last(60); seed++)
-		CU_ASSERT_TRUE(goes_on(seed, true));
+		CU_ASSERT_TRUE(continues(seed, true));
 }
 
-/* any number of times */
+/* repeated loss of the role */
 
 #define ROUNDS 4
 
-/* The first two of the order of stage work. */
+/* Sets @order to the first two of the order of stage work. */
 static void
 first_two(struct mrig *r, struct ment *order[2])
 {
@@ -291,7 +298,10 @@
 	}
 }
 
-/* Jobs that wait behind one in a call, where another entry is the home. */
+/*
+ * Submits jobs to an entry that is not the coordinator. Returns how many it
+ * keeps besides the one in a call.
+ */
 static uint32_t
 kept_of(struct mrig *r, struct ent *e, uint32_t jobs)
 {
@@ -309,7 +319,7 @@
 		j[i]->deadline_us = mh_now(e->m->k) + 9 * S;
 		mh_cell_submit(c, j[i]);
 	}
-	mrig_run(r, 360 * MS); /* three looks; the call is not overdue yet */
+	mrig_run(r, 360 * MS); /* three checks; the call isn't overdue yet */
 	kept = c->jobs->len - 1;
 	for (uint32_t i = 0; i < jobs; i++) {
 		mh_broker_drop(e->b, j[i]);
@@ -320,11 +330,12 @@
 }
 
 /*
- * An entry is the home and is not, by turns, with work at some of these times
- * and without at others.  Each time that it is no more it hands on what waits.
+ * An entry gains and loses the coordinator role repeatedly, with work at some
+ * of these times and without at others. Each time that it loses the role it
+ * must hand off what waits.
  */
 static void
-test_ceases_any_number_of_times(void)
+test_role_lost_repeatedly(void)
 {
 	for (uint32_t seed = regress_first(1); seed <= regress_last(3);
 	     seed++) {
@@ -363,34 +374,34 @@
 	}
 }
 
-/* any load */
+/* load */
 
-#define AIM_US (5 * S)
+#define SLO_US (5 * S)
 #define DEADLINE_US (9 * S)
-#define BETWEEN_US (10 * MS)
-#define PLAYED_US (DEADLINE_US + 3 * S)
+#define SUBMIT_INTERVAL_US (10 * MS)
+#define RUN_US (DEADLINE_US + 3 * S)
 
-/** struct load - jobs that one cell takes, and its leaving. */
+/** struct load - jobs that one stage scheduler is given, and when it drains. */
 struct load {
 	int jobs;
-	double slow; /* times as long as the endpoint says */
-	int64_t leaves_us; /* after the first job; -1: it stays */
-	bool elsewhere; /* what it hands on goes to another cell */
+	double slow; /* factor of the run time over the endpoint's estimate */
+	int64_t drain_us; /* after the first job; -1: never */
+	bool elsewhere; /* handed off jobs go to another stage scheduler */
 };
 
-struct next {
+struct handoff_target {
 	struct world *w;
 	struct mh_cell *to;
 };
 
 static void
-go_on(void *arg, const struct mh_job *j, enum mh_job_end end)
+resubmit(void *arg, const struct mh_job *j, enum mh_job_end end)
 {
-	const struct next *n = arg;
+	const struct handoff_target *n = arg;
 	const char *pools[STAGES_MOST + 1] = { NULL };
 	uint32_t pieces[STAGES_MOST] = { 0 };
 	int64_t now = mh_now(n->w->k);
-	struct mh_job *again;
+	struct mh_job *resubmitted;
 
 	if (end != MH_JOB_MOVED)
 		return;
@@ -398,15 +409,15 @@
 		pools[s] = j->stages[s].pool;
 		pieces[s] = j->stages[s].pieces;
 	}
-	again = world_job(
+	resubmitted = world_job(
 	    n->w, pools, pieces, j->aim_us - now, j->deadline_us - now);
-	again->moved = true;
+	resubmitted->moved = true;
 	for (uint32_t s = 0; s < j->n_stages; s++)
-		mh_job_made(again, s,
+		mh_job_made(resubmitted, s,
 		    (char *const *)j->stages[s].results->pdata,
 		    j->stages[s].results->len);
-	mh_job_forget_read(again);
-	mh_cell_submit(n->to, again);
+	mh_job_forget_read(resubmitted);
+	mh_cell_submit(n->to, resubmitted);
 }
 
 static uint32_t
@@ -415,7 +426,7 @@
 	static const char *const chain[] = { "a", "b", NULL };
 	const uint32_t pieces[] = { 1, 8 };
 	struct world *w = world_create();
-	struct next n = { w, w->c };
+	struct handoff_target n = { w, w->c };
 	uint32_t done;
 
 	world_pool(w, "a", 1, 8, 100 * MS, 10 * MS, 0);
@@ -423,15 +434,15 @@
 	world_node(w, "b-0")->slow = l->slow;
 	if (l->elsewhere)
 		n.to = world_cell(w);
-	w->ended = go_on;
+	w->ended = resubmit;
 	w->arg = &n;
-	for (int64_t t = 0; t <= PLAYED_US; t += BETWEEN_US) {
-		if (l->leaves_us == t)
+	for (int64_t t = 0; t <= RUN_US; t += SUBMIT_INTERVAL_US) {
+		if (l->drain_us == t)
 			mh_cell_leave(w->c);
-		if (t < l->jobs * BETWEEN_US)
+		if (t < l->jobs * SUBMIT_INTERVAL_US)
 			mh_cell_submit(w->c,
-			    world_job(w, chain, pieces, AIM_US, DEADLINE_US));
-		world_run(w, BETWEEN_US);
+			    world_job(w, chain, pieces, SLO_US, DEADLINE_US));
+		world_run(w, SUBMIT_INTERVAL_US);
 	}
 	done = w->done;
 	world_destroy(w);
@@ -439,12 +450,12 @@
 }
 
 /*
- * Loads of which all or some is taken, a pool that is as fast as it says or
- * slower, and a cell that leaves early or late: as many jobs are done as where
- * it stays.
+ * A load of which all or part is admitted, a pool as fast as estimated or
+ * slower, and a stage scheduler that drains early or late: at least as many
+ * jobs must be done as without the drain.
  */
 static void
-test_taken_under_any_load(void)
+test_drain_under_load(void)
 {
 	for (int jobs = 8; jobs <= 32; jobs += 6) {
 		for (int tenths = 10; tenths <= 16; tenths += 3) {
@@ -452,7 +463,7 @@
 			uint32_t stays = done_of_load(&l);
 
 			for (int64_t t = 300 * MS; t < 5 * S; t += 700 * MS) {
-				l.leaves_us = t;
+				l.drain_us = t;
 				l.elsewhere = !l.elsewhere;
 				CU_ASSERT(done_of_load(&l) >= stays);
 			}
@@ -461,10 +472,11 @@
 }
 
 const struct test tests_handon[] = {
-	{ "handon: a home leaves at any moment", test_leaves_at_any_moment },
-	{ "handon: a home dies at any moment", test_dies_at_any_moment },
-	{ "handon: ceases to be the home, any number of times",
-	    test_ceases_any_number_of_times },
-	{ "handon: taken under any load", test_taken_under_any_load },
+	{ "handoff: a coordinator drains at any moment",
+	    test_drain_at_any_moment },
+	{ "handoff: a coordinator dies at any moment",
+	    test_crash_at_any_moment },
+	{ "handoff: role lost repeatedly", test_role_lost_repeatedly },
+	{ "handoff: drain under load", test_drain_under_load },
 	{ NULL, NULL },
 };
--- a/regress/t_home.c
+++ b/regress/t_home.c
@@ -1,6 +1,6 @@
 /**
- * DOC: Homes of stage work while many entries are wrong about each other:
- * some are listed no more, some have just come back, one dies with work begun.
+ * DOC: The coordinator of stage work while entries have different views: some
+ * are no longer listed, some have just restarted, one dies with work begun.
  */
 
 #include "entwork.h"
@@ -11,7 +11,10 @@
 #define MS MH_US_PER_MS
 #define S MH_US_PER_S
 
-/* Entries in the order of stage work, the home first; all weigh the same. */
+/*
+ * Sets @order to the entries in the order of stage work, the coordinator first;
+ * all have the same weight.
+ */
 static void
 order_of(struct mrig *r, struct ment *order[ENTRIES])
 {
@@ -27,7 +30,9 @@
 	}
 }
 
-/* The list of entries without one. */
+/*
+ * The list of entries without @e; the caller frees the array, not the members.
+ */
 static GPtrArray *
 list_without(const struct mrig *r, const struct ment *e)
 {
@@ -60,13 +65,14 @@
 }
 
 /*
- * The store turns a third of the entries away for 12 s, and their places in
- * the list lapse, the home's among them.  Entries that restart read the list
- * without it and took another one for the home: two homes called the same
- * endpoints, and each freed inputs that the other's calls kept waiting.
+ * The store refuses a third of the entries for 12 s, and their rows in the list
+ * expire, the coordinator's among them. Entries that restart read the list
+ * without it and took another one for the coordinator: two coordinators called
+ * the same endpoints, and each freed inputs that the other's calls kept
+ * waiting.
  */
 static void
-test_unlisted_home(void)
+test_unlisted_coordinator(void)
 {
 	static const char *const pools[] = { "a", NULL };
 	const uint32_t pieces[] = { 1 };
@@ -90,7 +96,10 @@
 	mrig_run(r, 1 * S);
 	CU_ASSERT_STRING_EQUAL(mrig_home(last), order[0]->node);
 	CU_ASSERT_EQUAL(all[last->index].done, 1);
-	/* Told of it once: later work goes there, and it stays known. */
+	/*
+	 * After one announcement later work goes there, and the entry stays
+	 * known.
+	 */
 	mrig_run(r, 15 * S);
 	CU_ASSERT_STRING_EQUAL(mrig_home(last), order[0]->node);
 	mh_broker_drop(all[last->index].b, j);
@@ -103,16 +112,16 @@
 }
 
 /*
- * A small entry that is listed no more links itself to one that has just
- * restarted, which knew no weight of it and took it for a large one: the home
- * of all its work was a VM with a tenth of a core.
+ * A small entry that is no longer listed links to one that has just restarted.
+ * That one had no weight for it and took it for a large one: a VM with a tenth
+ * of a core coordinated all its work.
  */
 static void
 test_small_unlisted_entry(void)
 {
 	struct mrig *r = mrig_create();
 	struct ment *order[ENTRIES] = { NULL };
-	struct ment *small, *back;
+	struct ment *small, *restarted;
 
 	mrig_run(r, 10 * S);
 	order_of(r, order);
@@ -128,28 +137,28 @@
 		restart(&r->e[i]);
 	mrig_run(r, 10 * S);
 	CU_ASSERT_PTR_EQUAL(mrig_agreed(r), order[1]);
-	back = order[2]; /* to which the small one keeps a link */
-	back->list = list_without(r, small);
-	restart(back);
+	restarted = order[2]; /* the small one keeps a link to it */
+	restarted->list = list_without(r, small);
+	restart(restarted);
 	mrig_run(r, 2 * S);
-	CU_ASSERT_STRING_EQUAL(mrig_home(back), order[1]->node);
-	g_ptr_array_free(back->list, TRUE);
+	CU_ASSERT_STRING_EQUAL(mrig_home(restarted), order[1]->node);
+	g_ptr_array_free(restarted->list, TRUE);
 	mrig_destroy(r);
 }
 
 /*
- * The home dies while its callers' work is half done.  The next home did all of
- * it again, from the first stage, before pools that the results of the dead
- * one still filled.  It goes on from the stages that are made.
+ * The coordinator dies while its remote jobs are half done. The next one did
+ * all of it again, from the first stage, in pools that the results of the dead
+ * one still filled. It must continue from the computed stages.
  */
 static void
-test_begun_work_goes_on(void)
+test_work_continues_after_crash(void)
 {
 	static const char *const pools[] = { "a", "a", "b", NULL };
 	const uint32_t pieces[] = { 2, 0, 3 };
 	struct mrig *r = mrig_create();
 	struct ent all[ENTRIES] = { 0 };
-	struct ment *home;
+	struct ment *coordinator;
 	struct ent *e;
 	struct mh_job *j;
 	uint32_t first = 0;
@@ -157,22 +166,22 @@
 	for (uint32_t i = 0; i < ENTRIES; i++)
 		ent_create(&all[i], &r->e[i]);
 	mrig_run(r, 2 * S);
-	home = mrig_agreed(r);
-	CU_ASSERT_PTR_NOT_NULL_FATAL(home);
-	e = &all[home->index == 0];
-	all[home->index].stalled = "b";
+	coordinator = mrig_agreed(r);
+	CU_ASSERT_PTR_NOT_NULL_FATAL(coordinator);
+	e = &all[coordinator->index == 0];
+	all[coordinator->index].stalled = "b";
 	j = new_job(e, pools, pieces);
 	j->stages[2].after = 1;
 	mh_broker_submit(e->b, j);
 	mrig_run(r, 200 * MS);
-	CU_ASSERT_EQUAL(all[home->index].calls, 2);
-	CU_ASSERT_EQUAL(all[home->index].calls_b, 1);
+	CU_ASSERT_EQUAL(all[coordinator->index].calls, 2);
+	CU_ASSERT_EQUAL(all[coordinator->index].calls_b, 1);
 	CU_ASSERT_TRUE(mh_job_stage_made(&j->stages[0]));
-	home->cut = true;
+	coordinator->cut = true;
 	mrig_run(r, 2 * S);
 	CU_ASSERT_EQUAL(e->done, 1);
 	for (uint32_t i = 0; i < ENTRIES; i++) {
-		if (&r->e[i] != home)
+		if (&r->e[i] != coordinator)
 			first += all[i].calls - all[i].calls_b;
 	}
 	CU_ASSERT_EQUAL(first, 0);
@@ -185,33 +194,34 @@
 }
 
 /*
- * The home of a request's stage work is gone by the time that its results have
- * been read.  Nobody else knew them, or so it was taken, and they filled their
- * endpoints' room for seconds: the entry that was given them frees them.
+ * The coordinator of a request's stage work has died by the time that its
+ * results have been read. No other entry freed them, and they filled their
+ * endpoints' result memory for seconds: the entry that received them must free
+ * them.
  */
 static void
-test_results_outlive_the_home(void)
+test_results_outlive_coordinator(void)
 {
 	static const char *const pools[] = { "a", "b", NULL };
 	const uint32_t pieces[] = { 2, 3 };
 	struct mrig *r = mrig_create();
 	struct ent all[ENTRIES] = { 0 };
-	struct ment *home;
+	struct ment *coordinator;
 	struct ent *e;
 	struct mh_job *j;
 
 	for (uint32_t i = 0; i < ENTRIES; i++)
 		ent_create(&all[i], &r->e[i]);
 	mrig_run(r, 2 * S);
-	home = mrig_agreed(r);
-	CU_ASSERT_PTR_NOT_NULL_FATAL(home);
-	e = &all[home->index == 0];
+	coordinator = mrig_agreed(r);
+	CU_ASSERT_PTR_NOT_NULL_FATAL(coordinator);
+	e = &all[coordinator->index == 0];
 	j = new_job(e, pools, pieces);
 	j->stages[1].after = 1;
 	mh_broker_submit(e->b, j);
 	mrig_run(r, 200 * MS);
 	CU_ASSERT_EQUAL(e->done, 1);
-	home->cut = true;
+	coordinator->cut = true;
 	mrig_run(r, 2 * S);
 	CU_ASSERT_EQUAL(e->freed, 0);
 	mh_broker_drop(e->b, j);
@@ -224,47 +234,48 @@
 }
 
 /*
- * The home leaves in order while one request's call runs and another's pieces
- * wait behind it.  The second was kept until its turn came there, seconds for
- * some, while the next home called the same endpoints.  It is handed on with
- * what is made of it, which is not made again.
+ * The coordinator drains while one request's call runs and another's pieces
+ * wait behind it. The second was kept until its pieces were called there,
+ * seconds for some, while the next coordinator called the same endpoints. It
+ * must be handed off with its results, which are not computed again.
  */
 static void
-test_leaving_home_hands_on(void)
+test_drain_hands_off(void)
 {
 	static const char *const pools[] = { "a", "b", NULL };
 	const uint32_t pieces[] = { 2, 3 };
 	struct mrig *r = mrig_create();
 	struct ent all[ENTRIES] = { 0 };
 	struct mh_job *j[2];
-	struct ment *home;
+	struct ment *coordinator;
 	struct ent *e;
 	uint32_t first = 0;
 
 	for (uint32_t i = 0; i < ENTRIES; i++)
 		ent_create(&all[i], &r->e[i]);
 	mrig_run(r, 2 * S);
-	home = mrig_agreed(r);
-	CU_ASSERT_PTR_NOT_NULL_FATAL(home);
-	e = &all[home->index == 0];
-	all[home->index].stalled = "b";
+	coordinator = mrig_agreed(r);
+	CU_ASSERT_PTR_NOT_NULL_FATAL(coordinator);
+	e = &all[coordinator->index == 0];
+	all[coordinator->index].stalled = "b";
 	for (int i = 0; i < 2; i++) {
 		j[i] = new_job(e, pools, pieces);
 		j[i]->stages[1].after = 1;
 		mh_broker_submit(e->b, j[i]);
 		mrig_run(r, 50 * MS);
 	}
-	CU_ASSERT_EQUAL(all[home->index].calls_b, 1);
-	mh_mesh_leave(home->m);
-	mh_cells_leave(all[home->index].cs);
+	CU_ASSERT_EQUAL(all[coordinator->index].calls_b, 1);
+	mh_mesh_leave(coordinator->m);
+	mh_cells_leave(all[coordinator->index].cs);
 	mrig_run(r, 100 * MS);
 	CU_ASSERT_EQUAL(e->done, 1);
 	for (uint32_t i = 0; i < ENTRIES; i++) {
-		if (&r->e[i] != home)
+		if (&r->e[i] != coordinator)
 			first += all[i].calls - all[i].calls_b;
 	}
 	CU_ASSERT_EQUAL(first, 0);
-	CU_ASSERT_EQUAL(all[home->index].freed, 2); /* read by the call */
+	CU_ASSERT_EQUAL(all[coordinator->index].freed,
+	    2); /* its inputs were read by the call */
 	for (int i = 0; i < 2; i++) {
 		mh_broker_drop(e->b, j[i]);
 		mh_job_destroy(j[i]);
@@ -276,42 +287,42 @@
 }
 
 /*
- * A home leaves with a stage half made: eight of twelve pieces.  These are
- * handed on as well, apart from results of whole stages, which a process of an
- * earlier version takes for whole.
+ * A coordinator drains with eight of twelve pieces of a stage computed. These
+ * are handed off as well, in a field apart from the results of complete stages,
+ * which a process of an earlier version takes for complete.
  */
 static void
-test_half_a_stage_is_handed_on(void)
+test_partial_stage_handed_off(void)
 {
 	static const char *const pools[] = { "a", "b", NULL };
 	const uint32_t pieces[] = { 12, 1 };
 	struct mrig *r = mrig_create();
 	struct ent all[ENTRIES] = { 0 };
-	struct ment *home;
-	struct ent *e, *left;
+	struct ment *coordinator;
+	struct ent *e, *drained;
 	struct mh_job *j;
 	uint32_t elsewhere = 0;
 
 	for (uint32_t i = 0; i < ENTRIES; i++)
 		ent_create(&all[i], &r->e[i]);
 	mrig_run(r, 2 * S);
-	home = mrig_agreed(r);
-	CU_ASSERT_PTR_NOT_NULL_FATAL(home);
-	e = &all[home->index == 0];
-	left = &all[home->index];
-	left->stalled = "a";
-	left->passes = 1;
+	coordinator = mrig_agreed(r);
+	CU_ASSERT_PTR_NOT_NULL_FATAL(coordinator);
+	e = &all[coordinator->index == 0];
+	drained = &all[coordinator->index];
+	drained->stalled = "a";
+	drained->passes = 1;
 	j = new_job(e, pools, pieces);
 	j->stages[1].after = 1;
 	mh_broker_submit(e->b, j);
 	mrig_run(r, 50 * MS);
-	CU_ASSERT_EQUAL(left->calls, 2);
-	mh_mesh_leave(home->m);
-	mh_cells_leave(left->cs);
+	CU_ASSERT_EQUAL(drained->calls, 2);
+	mh_mesh_leave(coordinator->m);
+	mh_cells_leave(drained->cs);
 	mrig_run(r, 600 * MS);
 	CU_ASSERT_EQUAL(e->done, 1);
 	for (uint32_t i = 0; i < ENTRIES; i++) {
-		if (&all[i] != left)
+		if (&all[i] != drained)
 			elsewhere += all[i].pieces;
 	}
 	CU_ASSERT_EQUAL(elsewhere, 4 + 1);
@@ -325,12 +336,12 @@
 }
 
 /*
- * The first of the order is back and has run for long enough to be the home
- * again.  The entry that stood in kept what it had been given, for seconds,
- * while both called the same endpoints.  It hands on what waits there.
+ * The first of the order has restarted and has run for long enough to be the
+ * coordinator again. The entry that replaced it kept its jobs for seconds,
+ * while both called the same endpoints. It must hand off what waits there.
  */
 static void
-test_home_no_more_hands_on(void)
+test_role_loss_hands_off(void)
 {
 	static const char *const pools[] = { "a", "b", NULL };
 	const uint32_t pieces[] = { 2, 3 };
@@ -373,21 +384,21 @@
 	mrig_destroy(r);
 }
 
-/* What a job that another home began still needs, stage by stage. */
+/* Which stages a job still needs after another coordinator began it. */
 static void
-test_what_is_still_wanted(void)
+test_needed_stages(void)
 {
 	static const char *const pools[] = { "a", "b", "c", NULL };
-	static char *const made[] = { (char *)"x/1", (char *)"x/2" };
+	static char *const results[] = { (char *)"x/1", (char *)"x/2" };
 	const uint32_t pieces[] = { 2, 2, 1 };
 	struct world *w = world_create();
 	struct mh_job *j = world_job(w, pools, pieces, 5 * S, 9 * S);
 
 	CU_ASSERT_TRUE(mh_job_wants(j, 0));
-	mh_job_made(j, 0, made, 2);
+	mh_job_made(j, 0, results, 2);
 	mh_job_forget_read(j);
 	CU_ASSERT_TRUE(mh_job_stage_made(&j->stages[0]));
-	mh_job_made(j, 1, made, 2);
+	mh_job_made(j, 1, results, 2);
 	CU_ASSERT_FALSE(mh_job_wants(j, 0));
 	CU_ASSERT_TRUE(mh_job_wants(j, 1));
 	CU_ASSERT_TRUE(mh_job_wants(j, 2));
@@ -399,12 +410,13 @@
 }
 
 /*
- * Two entries take themselves for the home of the same endpoints, for seconds.
- * A call of one waits behind the other's; its inputs were freed as if it had
- * its turn at once, and were made again with all that had led to them.
+ * For seconds two entries take themselves for the coordinator of the same
+ * endpoints. A call of one waits behind the other's. Its inputs must not be
+ * freed as if it ran at once; they were computed again with all that had led to
+ * them.
  */
 static void
-test_two_homes(void)
+test_two_coordinators(void)
 {
 	static const char *const chain[] = { "a", "b", NULL };
 	const uint32_t pieces[] = { 2, 4 };
@@ -427,27 +439,27 @@
 }
 
 /*
- * Three of eight entries freeze for four seconds, not the home, and wake with
- * what their callers sent meanwhile.  Their links were closed as silent, so
- * each did its stage work alone: twenty such entries at once made 1,800 calls
- * in a second, of which 1,300 found their endpoint full.
+ * Three entries other than the coordinator freeze for four seconds and resume
+ * with the requests that their clients sent meanwhile. Their links were closed
+ * as silent, so each did its stage work alone: of 1,800 calls that twenty such
+ * entries made in a second, 1,300 found their endpoint full.
  */
 static void
-test_woken_entries(void)
+test_resumed_entries(void)
 {
 	static const char *const pools[] = { "a", NULL };
 	const uint32_t pieces[] = { 1 };
 	struct mrig *r = mrig_create();
 	struct ent all[ENTRIES] = { 0 };
 	struct mh_job *j[ENTRIES] = { NULL };
-	struct ment *home;
+	struct ment *coordinator;
 
 	for (uint32_t i = 0; i < ENTRIES; i++)
 		ent_create(&all[i], &r->e[i]);
 	mrig_run(r, 10 * S);
-	home = mrig_agreed(r);
+	coordinator = mrig_agreed(r);
 	for (uint32_t i = 0, n = 0; i < ENTRIES && n < 3; i++) {
-		r->e[i].frozen = &r->e[i] != home;
+		r->e[i].frozen = &r->e[i] != coordinator;
 		n += r->e[i].frozen;
 	}
 	mrig_run(r, 4 * S);
@@ -462,7 +474,7 @@
 		mh_broker_submit(all[i].b, j[i]);
 	}
 	mrig_run(r, 1 * S);
-	CU_ASSERT_PTR_EQUAL(mrig_agreed(r), home);
+	CU_ASSERT_PTR_EQUAL(mrig_agreed(r), coordinator);
 	for (uint32_t i = 0; i < ENTRIES; i++) {
 		if (j[i] == NULL)
 			continue;
@@ -478,13 +490,13 @@
 }
 
 /*
- * The first four of the order have just come back, the rest have run for long
- * and pass over them.  Each of the rest was linked to those four alone, knew
- * none that it could take for the home, and did its own stage work: six homes
+ * The first four of the order have just restarted, the rest have run for long
+ * and skip them. When each of the rest was linked to those four alone, it knew
+ * no entry that could coordinate, and did its own stage work: six entries
  * called the same endpoints for eight seconds.
  */
 static void
-test_first_of_the_order_young(void)
+test_first_of_the_order_restarted(void)
 {
 	struct mrig *r = mrig_create();
 	struct ment *order[ENTRIES] = { NULL };
@@ -500,30 +512,30 @@
 	mrig_destroy(r);
 }
 
-#define LOOK_US (50 * MS)
-#define LOOKS_A_BEAT 5
+#define CHECK_US (50 * MS)
+#define CHECKS_PER_HEARTBEAT 5
 
-/* How often, of looks at all entries, they name different homes. */
+/* Number of checks within @us at which entries name different coordinators. */
 static uint32_t
-disagreed(struct mrig *r, int64_t us)
+count_disagreed(struct mrig *r, int64_t us)
 {
 	uint32_t n = 0;
 
-	for (int64_t t = 0; t < us; t += LOOK_US) {
-		mrig_run(r, LOOK_US);
+	for (int64_t t = 0; t < us; t += CHECK_US) {
+		mrig_run(r, CHECK_US);
 		n += mrig_agreed(r) == NULL;
 	}
 	return n;
 }
 
 /*
- * All entries restart in turn, begun with any of them.  Who ran longest decides
- * who is old enough to be the home, and not everybody is linked to that one:
- * for five seconds some took another home than the rest.  All agree, but for
- * a beat at each change.
+ * All entries restart one after another, beginning with each of them in turn.
+ * The longest running entry decides which ones may coordinate, and not every
+ * entry is linked to it: for five seconds some chose another coordinator than
+ * the rest. All must agree except for one heartbeat interval at each change.
  */
 static void
-test_restarted_in_turn(void)
+test_rolling_restart(void)
 {
 	for (uint32_t first = 0; first < ENTRIES; first++) {
 		struct mrig *r = mrig_create();
@@ -534,23 +546,23 @@
 			struct ment *e = &r->e[(first + i * 3) % ENTRIES];
 
 			mh_mesh_leave(e->m);
-			n += disagreed(r, 500 * MS);
+			n += count_disagreed(r, 500 * MS);
 			restart(e);
-			n += disagreed(r, 300 * MS);
+			n += count_disagreed(r, 300 * MS);
 		}
-		n += disagreed(r, 9 * S);
-		CU_ASSERT(n <= ENTRIES * LOOKS_A_BEAT);
+		n += count_disagreed(r, 9 * S);
+		CU_ASSERT(n <= ENTRIES * CHECKS_PER_HEARTBEAT);
 		mrig_destroy(r);
 	}
 }
 
 /*
- * The last of the entries to restart leaves; all others have just come back.
- * Having run longest itself, it passed over all of them and did its callers'
- * stage work itself, while the others had theirs done elsewhere.
+ * The last entry to restart drains; all others have just restarted. As the
+ * longest running entry it skipped all of them and did its clients' stage work
+ * itself, while the others had theirs done elsewhere.
  */
 static void
-test_last_to_leave(void)
+test_last_to_restart(void)
 {
 	struct mrig *r = mrig_create();
 	struct ment *order[ENTRIES] = { NULL };
@@ -568,12 +580,13 @@
 }
 
 /*
- * The first four of the order have just come back, and so has one that is
- * linked to those alone.  It did not know of any that had run longer, took the
- * first for the home, and the two homes called the same endpoints for seconds.
+ * The first four of the order have just restarted, and so has one that is
+ * linked to those alone. It knew of no entry that had run for longer and took
+ * the first for the coordinator, and two coordinators called the same endpoints
+ * for seconds.
  */
 static void
-test_young_among_young(void)
+test_restarted_among_restarted(void)
 {
 	struct mrig *r = mrig_create();
 	struct ment *order[ENTRIES] = { NULL };
@@ -589,7 +602,7 @@
 	mrig_destroy(r);
 }
 
-/* The one call that a cell has under way. */
+/* The one call that a stage scheduler has in flight. */
 static struct mh_batch *
 only_call(struct mh_cell *c)
 {
@@ -603,23 +616,24 @@
 }
 
 /*
- * A stage was made and found gone when the next one was to read it, so the home
- * makes it again, with its inputs.  It leaves when the inputs are made and the
- * stage is not.  The entry that asked took the stage for made still when it
- * was told of the inputs, and forgot them: they are made a third time.  What it
- * took for made, and kept, as the home told it of stages 0, 1 and 2 in turn:
- * "made 1 1 0 kept 0 1 0", "made 0 0 0 kept 0 1 0", "kept 0 1 1"; then six
- * pieces were made elsewhere, where four were due.
+ * The results of a computed stage are found lost when the next stage is to read
+ * them, so the coordinator computes the stage again, with its inputs. It drains
+ * when the inputs are computed and the stage is not. The requester still took
+ * the stage for computed when it received the results of the inputs, and
+ * discarded them, so that they were computed a third time. As the reports of
+ * stages 0, 1 and 2 arrived, the requester had stages "1 1 0" and then "0 0 0"
+ * as computed, and kept the results of stages "0 1 0", "0 1 0" and "0 1 1";
+ * then six pieces were computed elsewhere instead of four.
  */
 static void
-test_made_again_is_handed_on(void)
+test_recomputed_stage_handed_off(void)
 {
 	static const char *const pools[] = { "a", "b", "a", NULL };
 	const uint32_t pieces[] = { 2, 3, 1 };
 	struct mrig *r = mrig_create();
 	struct ent all[ENTRIES] = { 0 };
-	struct ment *home;
-	struct ent *e, *left;
+	struct ment *coordinator;
+	struct ent *e, *drained;
 	struct mh_batch *b;
 	struct mh_cell *c;
 	struct mh_job *j;
@@ -628,33 +642,34 @@
 	for (uint32_t i = 0; i < ENTRIES; i++)
 		ent_create(&all[i], &r->e[i]);
 	mrig_run(r, 2 * S);
-	home = mrig_agreed(r);
-	CU_ASSERT_PTR_NOT_NULL_FATAL(home);
-	e = &all[home->index == 0];
-	left = &all[home->index];
-	left->stalled = "a";
-	left->passes = 1;
+	coordinator = mrig_agreed(r);
+	CU_ASSERT_PTR_NOT_NULL_FATAL(coordinator);
+	e = &all[coordinator->index == 0];
+	drained = &all[coordinator->index];
+	drained->stalled = "a";
+	drained->passes = 1;
 	j = new_job(e, pools, pieces);
 	j->stages[1].after = 1;
 	j->stages[2].after = 2;
 	mh_broker_submit(e->b, j);
 	mrig_run(r, 100 * MS);
-	CU_ASSERT_EQUAL(left->calls, 3);
+	CU_ASSERT_EQUAL(drained->calls, 3);
 	CU_ASSERT_TRUE(mh_job_stage_made(&j->stages[1]));
-	c = mh_cells_get(left->cs, 0, 1);
+	c = mh_cells_get(drained->cs, 0, 1);
 	b = only_call(c);
 	g_array_index(b->items, struct mh_batch_item, 0).inputs_gone = true;
-	left->stalled = "b";
+	drained->stalled = "b";
 	mh_cell_batch_end(c, b, MH_BATCH_DONE);
 	mrig_run(r, 20 * MS);
-	CU_ASSERT_EQUAL(left->calls, 5); /* inputs made, the stage in a call */
-	mh_mesh_leave(home->m);
-	mh_cells_leave(left->cs);
+	CU_ASSERT_EQUAL(
+	    drained->calls, 5); /* inputs computed, stage in a call */
+	mh_mesh_leave(coordinator->m);
+	mh_cells_leave(drained->cs);
 	mh_cell_batch_end(c, only_call(c), MH_BATCH_FULL);
 	mrig_run(r, 300 * MS);
 	CU_ASSERT_EQUAL(e->done, 1);
 	for (uint32_t i = 0; i < ENTRIES; i++) {
-		if (&all[i] != left)
+		if (&all[i] != drained)
 			elsewhere += all[i].pieces;
 	}
 	CU_ASSERT_EQUAL(elsewhere, 3 + 1);
@@ -667,18 +682,18 @@
 }
 
 /*
- * Stage work of a request under which endpoints end is at the home of another
- * entry, or on its way to the next home.  Every home knows whose it is, and the
- * entry that asked is told why it ends.
+ * Stage work of a poison request is at its coordinator, or on its way to the
+ * next one. Every coordinator must know the fingerprint of the request, and the
+ * requester must get the reason why the job ends.
  */
 static void
-test_held_at_the_home(void)
+test_quarantined_at_coordinator(void)
 {
 	static const char *const pools[] = { "a", NULL };
 	const uint32_t pieces[] = { 8 };
 	struct mrig *r = mrig_create();
 	struct ent all[ENTRIES] = { 0 };
-	struct ment *home, *next;
+	struct ment *coordinator, *next;
 	struct ent *e;
 	struct mh_cell *c;
 	struct mh_job *j[2];
@@ -688,22 +703,22 @@
 		all[i].stalled = "a";
 	}
 	mrig_run(r, 2 * S);
-	home = mrig_agreed(r);
-	CU_ASSERT_PTR_NOT_NULL_FATAL(home);
-	e = &all[home->index == 0];
-	for (int i = 0; i < 2; i++) { /* one in a call, one that waits */
+	coordinator = mrig_agreed(r);
+	CU_ASSERT_PTR_NOT_NULL_FATAL(coordinator);
+	e = &all[coordinator->index == 0];
+	for (int i = 0; i < 2; i++) { /* one in a call, one waiting */
 		j[i] = new_job(e, pools, pieces);
 		j[i]->print = 77;
 		mh_broker_submit(e->b, j[i]);
 	}
 	mrig_run(r, 100 * MS);
-	c = mh_cells_get(all[home->index].cs, 0, 1);
+	c = mh_cells_get(all[coordinator->index].cs, 0, 1);
 	CU_ASSERT_EQUAL_FATAL(c->jobs->len, 2);
-	mh_mesh_leave(home->m);
-	mh_cells_leave(all[home->index].cs);
-	mrig_run(r, 200 * MS); /* the call is not overdue yet */
+	mh_mesh_leave(coordinator->m);
+	mh_cells_leave(all[coordinator->index].cs);
+	mrig_run(r, 200 * MS); /* the call isn't overdue yet */
 	next = mrig_agreed(r);
-	CU_ASSERT_PTR_NOT_EQUAL(next, home);
+	CU_ASSERT_PTR_NOT_EQUAL(next, coordinator);
 	c = mh_cells_get(all[next->index].cs, 0, 1);
 	CU_ASSERT_EQUAL_FATAL(c->jobs->len, 1);
 	CU_ASSERT_EQUAL(
@@ -722,40 +737,43 @@
 	mrig_destroy(r);
 }
 
-/* Two jobs come to an entry that is the home no more: one call, one waits. */
+/*
+ * Submits two jobs to an entry that is no longer the coordinator: one enters a
+ * call, one waits. Returns the number of jobs that it keeps.
+ */
 static uint32_t
-left_of_two(struct mrig *r, struct ent *e)
+kept_of_two(struct mrig *r, struct ent *e)
 {
 	static const char *const pools[] = { "a", NULL };
 	const uint32_t pieces[] = { 8 };
 	struct mh_cell *c = mh_cells_get(e->cs, 0, 1);
 	struct mh_job *j[2];
-	uint32_t left;
+	uint32_t kept;
 
 	e->stalled = "a";
 	for (int i = 0; i < 2; i++) {
 		j[i] = new_job(e, pools, pieces);
 		mh_cell_submit(c, j[i]);
 	}
-	mrig_run(r, 360 * MS); /* three looks; the call is not overdue yet */
-	left = c->jobs->len;
+	mrig_run(r, 360 * MS); /* three checks; the call isn't overdue yet */
+	kept = c->jobs->len;
 	for (int i = 0; i < 2; i++) {
 		mh_broker_drop(e->b, j[i]);
 		mh_job_destroy(j[i]);
 	}
 	mh_cell_batch_end(c, only_call(c), MH_BATCH_DONE);
-	return left;
+	return kept;
 }
 
 /*
- * An entry ceases to be the home, is it again while it has no work, and ceases
- * once more.  The second time it kept what it was given: the looks at which
- * another is the home were not counted anew, since an entry without work did
- * not look.  They counted "0, 1, 2" the first time, when it handed on, and "3,
- * 3, 3, 3" the second.
+ * An entry loses the coordinator role, regains it while it has no work, and
+ * loses it once more. The second time it kept its jobs: the checks at which
+ * another entry is the coordinator were not reset, since an entry without work
+ * didn't check. They counted 0, 1, 2 the first time, when it handed off, and
+ * stayed at 3 the second.
  */
 static void
-test_home_no_more_twice(void)
+test_role_lost_twice(void)
 {
 	struct mrig *r = mrig_create();
 	struct ment *order[ENTRIES] = { NULL };
@@ -769,7 +787,7 @@
 	first = &all[order[0]->index];
 	second = &all[order[1]->index];
 	CU_ASSERT_PTR_EQUAL(mrig_agreed(r), order[0]);
-	CU_ASSERT_EQUAL(left_of_two(r, second), 1);
+	CU_ASSERT_EQUAL(kept_of_two(r, second), 1);
 	ent_destroy(first);
 	restart(order[0]);
 	ent_create(first, order[0]);
@@ -777,33 +795,36 @@
 	CU_ASSERT_PTR_EQUAL(mrig_agreed(r), order[1]);
 	mrig_run(r, 5 * S);
 	CU_ASSERT_PTR_EQUAL(mrig_agreed(r), order[0]);
-	CU_ASSERT_EQUAL(left_of_two(r, second), 1);
+	CU_ASSERT_EQUAL(kept_of_two(r, second), 1);
 	for (uint32_t i = 0; i < ENTRIES; i++)
 		ent_destroy(&all[i]);
 	mrig_destroy(r);
 }
 
 const struct test tests_home[] = {
-	{ "home: no more, twice", test_home_no_more_twice },
-	{ "home: held at the home", test_held_at_the_home },
-	{ "home: what is made again is handed on",
-	    test_made_again_is_handed_on },
-	{ "home: listed no more", test_unlisted_home },
-	{ "home: a small entry that is listed no more",
+	{ "coordinator: role lost twice", test_role_lost_twice },
+	{ "coordinator: quarantined job", test_quarantined_at_coordinator },
+	{ "coordinator: a recomputed stage is handed off",
+	    test_recomputed_stage_handed_off },
+	{ "coordinator: no longer listed", test_unlisted_coordinator },
+	{ "coordinator: a small entry that is no longer listed",
 	    test_small_unlisted_entry },
-	{ "home: begun work goes on", test_begun_work_goes_on },
-	{ "home: results outlive it", test_results_outlive_the_home },
-	{ "home: one that leaves hands on", test_leaving_home_hands_on },
-	{ "home: half a stage is handed on", test_half_a_stage_is_handed_on },
-	{ "home: one that is no more the home hands on",
-	    test_home_no_more_hands_on },
-	{ "home: what is still wanted", test_what_is_still_wanted },
-	{ "home: two at once", test_two_homes },
-	{ "home: entries that wake", test_woken_entries },
-	{ "home: the first of the order are young",
-	    test_first_of_the_order_young },
-	{ "home: restarted in turn", test_restarted_in_turn },
-	{ "home: the last to leave", test_last_to_leave },
-	{ "home: young among young", test_young_among_young },
+	{ "coordinator: begun work continues",
+	    test_work_continues_after_crash },
+	{ "coordinator: results outlive it", test_results_outlive_coordinator },
+	{ "coordinator: one that drains hands off", test_drain_hands_off },
+	{ "coordinator: a partial stage is handed off",
+	    test_partial_stage_handed_off },
+	{ "coordinator: one that loses the role hands off",
+	    test_role_loss_hands_off },
+	{ "coordinator: needed stages", test_needed_stages },
+	{ "coordinator: two at once", test_two_coordinators },
+	{ "coordinator: entries that resume", test_resumed_entries },
+	{ "coordinator: the first of the order restarted",
+	    test_first_of_the_order_restarted },
+	{ "coordinator: rolling restart", test_rolling_restart },
+	{ "coordinator: the last to restart", test_last_to_restart },
+	{ "coordinator: restarted among restarted",
+	    test_restarted_among_restarted },
 	{ NULL, NULL },
 };
--- a/regress/t_mesh.c
+++ b/regress/t_mesh.c
@@ -1,6 +1,6 @@
 /**
- * DOC: Entries among themselves, in virtual time: who is alive, whose turn
- * it is, and jobs that move when an entry is lost.
+ * DOC: The mesh of entries, in virtual time: failure detection, the coordinator
+ * of stage work, exchange of views, and jobs whose coordinator is lost.
  */
 
 #include "regress.h"
@@ -11,7 +11,7 @@
 #define MS MH_US_PER_MS
 #define S MH_US_PER_S
 static void
-test_one_home(void)
+test_one_coordinator(void)
 {
 	struct mrig *r = mrig_create();
 
@@ -22,108 +22,108 @@
 }
 
 /*
- * The home falls silent without a reset: a frozen VM, or a link that goes
- * nowhere.  The others go on to the next within a second.
+ * The coordinator falls silent without a reset: its VM froze, or its packets
+ * are dropped. The others must use the next one within about a second.
  */
 static void
-test_silent_home(void)
+test_silent_coordinator(void)
 {
 	struct mrig *r = mrig_create();
-	struct ment *home;
+	struct ment *coordinator;
 
 	mrig_run(r, 2 * S);
-	home = mrig_agreed(r);
-	home->cut = true;
+	coordinator = mrig_agreed(r);
+	coordinator->cut = true;
 	mrig_run(r, 1200 * MS);
 	CU_ASSERT_PTR_NOT_NULL_FATAL(mrig_agreed(r));
-	CU_ASSERT_PTR_NOT_EQUAL(mrig_agreed(r), home);
-	home->cut = false;
+	CU_ASSERT_PTR_NOT_EQUAL(mrig_agreed(r), coordinator);
+	coordinator->cut = false;
 	mrig_run(r, 3 * S);
-	CU_ASSERT_PTR_EQUAL(mrig_agreed(r), home);
+	CU_ASSERT_PTR_EQUAL(mrig_agreed(r), coordinator);
 	mrig_destroy(r);
 }
 
-/* A leaving or unready entry is nobody's home. */
+/* A draining or unready entry must not be chosen as the coordinator. */
 static void
-test_leaving_home(void)
+test_draining_coordinator(void)
 {
 	struct mrig *r = mrig_create();
-	struct ment *home;
+	struct ment *coordinator;
 
 	mrig_run(r, 2 * S);
-	home = mrig_agreed(r);
-	mh_mesh_leave(home->m);
+	coordinator = mrig_agreed(r);
+	mh_mesh_leave(coordinator->m);
 	mrig_run(r, 100 * MS);
 	CU_ASSERT_PTR_NOT_NULL_FATAL(mrig_agreed(r));
-	CU_ASSERT_PTR_NOT_EQUAL(mrig_agreed(r), home);
-	home = mrig_agreed(r);
-	home->ready = false;
+	CU_ASSERT_PTR_NOT_EQUAL(mrig_agreed(r), coordinator);
+	coordinator = mrig_agreed(r);
+	coordinator->ready = false;
 	mrig_run(r, 400 * MS);
-	CU_ASSERT_PTR_NOT_EQUAL(mrig_home(&r->e[home->index == 0]), home->node);
+	CU_ASSERT_PTR_NOT_EQUAL(
+	    mrig_home(&r->e[coordinator->index == 0]), coordinator->node);
 	mrig_destroy(r);
 }
 
 /*
- * The store is away and the first four of the order restart: they are listed
- * but not there.  Dialling only them left every entry alone, and each did its
+ * The store is unavailable and the first four of the order are down, though
+ * listed. When entries dialled only these, each was without links and did its
  * own stage work.
  */
 static void
-test_first_of_the_order_gone(void)
+test_first_of_the_order_down(void)
 {
 	struct mrig *r = mrig_create();
-	struct ment *fresh = NULL;
+	struct ment *restarted = NULL;
 
 	mrig_run(r, 2 * S);
-	for (int gone = 0; gone < 5; gone++) {
+	for (int n = 0; n < 5; n++) {
 		mrig_agreed(r)->down = true;
 		mrig_run(r, 2 * S);
 		CU_ASSERT_PTR_NOT_NULL_FATAL(mrig_agreed(r));
 	}
 	for (uint32_t i = 0; i < ENTRIES; i++) {
 		if (!r->e[i].down && &r->e[i] != mrig_agreed(r))
-			fresh = &r->e[i];
+			restarted = &r->e[i];
 	}
-	fresh->down = true;
+	restarted->down = true;
 	mrig_run(r, 2 * S);
-	mh_kern_destroy(fresh->k);
-	fresh->down = false;
-	mrig_start(fresh);
+	mh_kern_destroy(restarted->k);
+	restarted->down = false;
+	mrig_start(restarted);
 	mrig_run(r, 4 * S);
 	CU_ASSERT_PTR_NOT_NULL(mrig_agreed(r));
-	CU_ASSERT_PTR_NOT_EQUAL(mrig_agreed(r), fresh);
+	CU_ASSERT_PTR_NOT_EQUAL(mrig_agreed(r), restarted);
 	mrig_destroy(r);
 }
 
 /*
- * An entry restarts and has just come back.  Work does not move to it at
- * once: each move costs, and while entries restart in turn there is one a
- * second.
+ * Work must not move to an entry that has just restarted: each move costs, and
+ * while entries restart one after another there is a restart every second.
  */
 static void
-test_settled_first(void)
+test_restarted_not_chosen(void)
 {
 	struct mrig *r = mrig_create();
-	struct ment *home, *next;
+	struct ment *coordinator, *next;
 
 	mrig_run(r, 10 * S);
-	home = mrig_agreed(r);
-	home->down = true;
+	coordinator = mrig_agreed(r);
+	coordinator->down = true;
 	mrig_run(r, 2 * S);
 	next = mrig_agreed(r);
-	mh_kern_destroy(home->k);
-	home->down = false;
-	mrig_start(home);
+	mh_kern_destroy(coordinator->k);
+	coordinator->down = false;
+	mrig_start(coordinator);
 	mrig_run(r, 3 * S);
 	CU_ASSERT_PTR_EQUAL(mrig_agreed(r), next);
 	mrig_run(r, 7 * S);
-	CU_ASSERT_PTR_EQUAL(mrig_agreed(r), home);
+	CU_ASSERT_PTR_EQUAL(mrig_agreed(r), coordinator);
 	mrig_destroy(r);
 }
 
 /*
- * The store turns an entry away while the operator changes the
- * configuration: it learns of it from the others.
+ * An entry whose requests the store refuses must receive a new configuration
+ * from the others.
  */
 static void
 test_conf_from_peers(void)
@@ -138,7 +138,7 @@
 	mrig_destroy(r);
 }
 
-/* Guards against a failure domain that one entry alone knows as evacuated. */
+/* Guards against an evacuated failure domain that one entry alone has read. */
 static void
 test_evacuated_from_peers(void)
 {
@@ -159,12 +159,12 @@
 }
 
 /*
- * The registry does not change for minutes.  Its revision stays, so nobody
- * has a newer one to give: without a word of when it was read last, each
- * entry read it again itself.
+ * The registry doesn't change for minutes, so no entry has a newer revision to
+ * send. Heartbeats must say when it was last read; otherwise each entry read it
+ * again itself.
  */
 static void
-test_unchanged_is_fresh(void)
+test_rows_unchanged(void)
 {
 	struct mrig *r = mrig_create();
 
@@ -177,11 +177,11 @@
 }
 
 /*
- * An entry that is asked by all answers some and puts off the rest.  Who got
- * no answer asks again; asking once a revision left them on the old one.
+ * An entry that all others send requests to answers some and puts off the rest,
+ * which must retry. With one request per revision they stayed on the old one.
  */
 static void
-test_asks_again(void)
+test_request_retried(void)
 {
 	struct mrig *r = mrig_create();
 
@@ -194,7 +194,10 @@
 	mrig_destroy(r);
 }
 
-/* Guards against a list of entries that each reads for itself, or twice. */
+/*
+ * Guards against a list of entries that each entry reads itself, or receives
+ * twice.
+ */
 static void
 test_entries_from_peers(void)
 {
@@ -208,14 +211,17 @@
 		CU_ASSERT_EQUAL(r->e[i].entries_hash, 77);
 		CU_ASSERT_EQUAL(r->e[i].taken_entries, i != 2);
 	}
-	r->e[2].entries = 9; /* read later, and the same */
+	r->e[2].entries = 9; /* later revision, same content */
 	mrig_run(r, 1 * S);
 	for (uint32_t i = 0; i < ENTRIES; i++)
 		CU_ASSERT_EQUAL(r->e[i].taken_entries, i != 2);
 	mrig_destroy(r);
 }
 
-/* Guards against a changed key unknown at some while all have it to give. */
+/*
+ * Guards against entries that still lack a changed key although all peers have
+ * it to send.
+ */
 static void
 test_large_conf(void)
 {
@@ -243,11 +249,11 @@
 }
 
 /*
- * Guards against an entry that never gets a text which takes longer to come
- * than a link may be silent.
+ * Guards against an entry that never receives a text whose transfer takes
+ * longer than a link may be silent.
  */
 static void
-test_conf_longer_than_silence(void)
+test_conf_slow_transfer(void)
 {
 	struct mrig *r = mrig_create();
 	struct ment *last = &r->e[ENTRIES - 1];
@@ -261,15 +267,18 @@
 	for (uint32_t n = 0; n + 1 < ENTRIES; n++)
 		r->e[n].bytes_per_s = mrig_whole_len(&r->e[n]) * 2 / 3;
 	last->taken_conf = 0;
-	mrig_run(r, 2 * S); /* it takes 1.5 s to send */
+	mrig_run(r, 2 * S); /* the transfer takes 1.5 s */
 	CU_ASSERT_EQUAL(last->conf, 9);
 	CU_ASSERT_EQUAL(last->taken_conf, 1);
 	mrig_destroy(r);
 }
 
-/* Guards against changes whose cost is that of the document, for each entry. */
+/*
+ * Guards against changes that cost each entry the transfer of the whole
+ * document.
+ */
 static void
-test_conf_change_alone(void)
+test_conf_delta(void)
 {
 	static const uint32_t lens[] = { 100 << 10, 400 << 10 };
 	uint64_t sent[2] = { 0, 0 };
@@ -295,9 +304,12 @@
 	CU_ASSERT(sent[1] < sent[0] + sent[0] / 4);
 }
 
-/* Guards against a copy of the configuration from each that has it. */
+/*
+ * Guards against receiving a copy of the configuration from every peer that has
+ * it.
+ */
 static void
-test_conf_of_one(void)
+test_conf_from_one_peer(void)
 {
 	struct mrig *r = mrig_create();
 
@@ -334,26 +346,29 @@
 	mrig_destroy(r);
 }
 
-/* Guards against a change that waits for a beat at each step of its way. */
+/* Guards against a change that waits for a heartbeat at each hop. */
 static void
 test_conf_at_once(void)
 {
 	struct mrig *r = mrig_create();
-	struct ment *home;
+	struct ment *coordinator;
 
 	mrig_run(r, 10 * S);
-	home = mrig_agreed(r);
-	home->conf = 5;
-	mh_mesh_conf_changed(home->m);
+	coordinator = mrig_agreed(r);
+	coordinator->conf = 5;
+	mh_mesh_conf_changed(coordinator->m);
 	mrig_run(r, 20 * MS);
 	for (uint32_t i = 0; i < ENTRIES; i++)
 		CU_ASSERT_EQUAL(r->e[i].conf, 5);
 	mrig_destroy(r);
 }
 
-/* Guards against 404 for what a configuration on its way may hold. */
+/*
+ * Guards against 404 for a route or key of a configuration that is announced
+ * but not yet received.
+ */
 static void
-test_conf_behind(void)
+test_conf_stale(void)
 {
 	struct mrig *r = mrig_create();
 
@@ -365,7 +380,7 @@
 	CU_ASSERT_TRUE(mh_mesh_conf_behind(r->e[1].m));
 	CU_ASSERT_FALSE(mh_mesh_conf_behind(r->e[2].m));
 	CU_ASSERT_EQUAL(mh_mesh_conf_behind_us(r->e[2].m), 0);
-	/* One more change starts nothing anew. */
+	/* A further change doesn't restart the time. */
 	r->e[2].conf = 6;
 	mrig_run(r, 1500 * MS);
 	CU_ASSERT(mh_mesh_conf_behind_us(r->e[1].m) > 1600 * MS);
@@ -379,7 +394,7 @@
 	mh_mesh_conf_changed(r->e[2].m);
 	mrig_run(r, 100 * MS);
 	CU_ASSERT(mh_mesh_conf_behind_us(r->e[1].m) <= 100 * MS);
-	/* Who has it is gone. */
+	/* The only entry that has it is lost. */
 	CU_ASSERT_TRUE(mh_mesh_conf_offered(r->e[1].m));
 	r->e[2].cut = true;
 	mrig_run(r, 1 * S);
@@ -390,9 +405,9 @@
 
 /*
  * Hundreds of entries start at once and thousands of endpoints register: the
- * few entries that read for all are asked for rows all the time and put most
- * askers off.  A key that was declared meanwhile was still unknown at some
- * entries after five seconds, since their asks for it were put off as well.
+ * few readers receive requests for rows all the time and put most off. Requests
+ * for the configuration must not be put off with them: a key that was declared
+ * meanwhile was still unknown at some entries after five seconds.
  */
 static void
 test_conf_while_rows_change(void)
@@ -411,8 +426,9 @@
 }
 
 /*
- * All rows of thousands of endpoints are 1 MB.  An entry that gave them to a
- * dozen others a beat sent 11 MB a second, and its beats came late.
+ * All rows of thousands of endpoints are 1 MB. An entry that sent them to a
+ * dozen others per heartbeat interval sent 11 MB a second, and its heartbeats
+ * were delayed.
  */
 static void
 test_rows_by_bytes(void)
@@ -425,7 +441,7 @@
 		mrig_ask_view(&r->e[1], &r->e[0], false);
 	mrig_run(r, 2 * MS);
 	CU_ASSERT_EQUAL(r->e[1].taken_rows, 1 << 20);
-	r->e[0].rows_len = 4 << 10; /* changes: as many as before */
+	r->e[0].rows_len = 4 << 10; /* changes alone: no request is put off */
 	r->e[1].taken_rows = 0;
 	mrig_run(r, 300 * MS);
 	for (int i = 0; i < 8; i++)
@@ -436,8 +452,9 @@
 }
 
 /*
- * With sixteen slices an entry uses four, always the same, so that a home is
- * not linked to every entry; all entries together use all of them.
+ * With sixteen slices an entry uses four, always the same, so that a
+ * coordinator isn't linked to every entry; all entries together use most of
+ * them.
  */
 static void
 test_slices_used(void)
@@ -463,7 +480,9 @@
 	mrig_destroy(r);
 }
 
-/* Two entries read for all; one that the store turns away is none of them. */
+/*
+ * Two entries read for all; one that the platform doesn't answer isn't counted.
+ */
 static void
 test_readers(void)
 {
@@ -484,8 +503,8 @@
 }
 
 /*
- * A replica goes dark.  Two entries find out by connections that hang; the
- * others must not have to.
+ * An endpoint stops answering. Two entries find out by connections that hang;
+ * the others must learn it from their reports.
  */
 static void
 test_suspects(void)
@@ -493,7 +512,7 @@
 	struct mrig *r = mrig_create();
 	struct mh_fleet *f[ENTRIES];
 	struct mh_suspects *s[ENTRIES];
-	uint32_t out = 0;
+	uint32_t ejected = 0;
 
 	for (uint32_t i = 0; i < ENTRIES; i++) {
 		static const char *const ids[] = { "n0", "n1", "n2" };
@@ -513,13 +532,13 @@
 	mh_suspects_report(s[0], "n1");
 	mrig_run(r, 100 * MS);
 	for (uint32_t i = 0; i < ENTRIES; i++)
-		out += !mh_node_usable(f[i], mh_fleet_find(f[i], "n1"));
-	CU_ASSERT_EQUAL(out, 0);
+		ejected += !mh_node_usable(f[i], mh_fleet_find(f[i], "n1"));
+	CU_ASSERT_EQUAL(ejected, 0);
 	mh_suspects_report(s[1], "n1");
 	mrig_run(r, 100 * MS);
 	for (uint32_t i = 0; i < ENTRIES; i++)
-		out += !mh_node_usable(f[i], mh_fleet_find(f[i], "n1"));
-	CU_ASSERT_EQUAL(out, ENTRIES);
+		ejected += !mh_node_usable(f[i], mh_fleet_find(f[i], "n1"));
+	CU_ASSERT_EQUAL(ejected, ENTRIES);
 	for (uint32_t i = 0; i < ENTRIES; i++) {
 		mh_suspects_destroy(s[i]);
 		mh_fleet_destroy(f[i]);
@@ -527,28 +546,30 @@
 	mrig_destroy(r);
 }
 
-/* A job goes to its home; the home dies; the next one does it. */
+/*
+ * A job is sent to its coordinator, which dies; the next one must complete it.
+ */
 static void
-test_job_moves(void)
+test_job_handed_off(void)
 {
 	static const char *const pools[] = { "a", NULL };
 	const uint32_t pieces[] = { 2 };
 	struct mrig *r = mrig_create();
 	struct ent all[ENTRIES] = { 0 };
-	struct ment *home, *asker;
+	struct ment *coordinator, *requester;
 	struct ent *e;
 	struct mh_job *j;
 
 	for (uint32_t i = 0; i < ENTRIES; i++)
 		ent_create(&all[i], &r->e[i]);
 	mrig_run(r, 2 * S);
-	home = mrig_agreed(r);
-	asker = &r->e[home->index == 0];
-	e = &all[asker->index];
+	coordinator = mrig_agreed(r);
+	requester = &r->e[coordinator->index == 0];
+	e = &all[requester->index];
 	j = world_job(e->w, pools, pieces, 5 * S, 9 * S);
-	j->aim_us = mh_now(asker->k) + 5 * S;
-	j->deadline_us = mh_now(asker->k) + 9 * S;
-	home->cut = true; /* takes nothing, answers nothing */
+	j->aim_us = mh_now(requester->k) + 5 * S;
+	j->deadline_us = mh_now(requester->k) + 9 * S;
+	coordinator->cut = true; /* its frames are lost both ways */
 	mh_broker_submit(e->b, j);
 	mrig_run(r, 400 * MS);
 	CU_ASSERT_EQUAL(e->ended, 0);
@@ -564,30 +585,33 @@
 }
 
 const struct test tests_mesh[] = {
-	{ "mesh: one home", test_one_home },
-	{ "mesh: a silent home", test_silent_home },
-	{ "mesh: a leaving home", test_leaving_home },
-	{ "mesh: the first of the order gone", test_first_of_the_order_gone },
-	{ "mesh: settled entries first", test_settled_first },
+	{ "mesh: one coordinator", test_one_coordinator },
+	{ "mesh: a silent coordinator", test_silent_coordinator },
+	{ "mesh: a draining coordinator", test_draining_coordinator },
+	{ "mesh: the first of the order down", test_first_of_the_order_down },
+	{ "mesh: a restarted entry is not chosen", test_restarted_not_chosen },
 	{ "mesh: configuration from peers", test_conf_from_peers },
-	{ "mesh: evacuated, from peers", test_evacuated_from_peers },
-	{ "mesh: asks again", test_asks_again },
+	{ "mesh: evacuation from peers", test_evacuated_from_peers },
+	{ "mesh: a request is retried", test_request_retried },
 	{ "mesh: the list of entries from peers", test_entries_from_peers },
 	{ "mesh: a large configuration over narrow links", test_large_conf },
-	{ "mesh: a text that takes longer than silence",
-	    test_conf_longer_than_silence },
-	{ "mesh: a change of the configuration alone", test_conf_change_alone },
-	{ "mesh: configuration of one entry at a time", test_conf_of_one },
-	{ "mesh: configurations by bytes", test_conf_by_bytes },
-	{ "mesh: a configuration does not wait for beats", test_conf_at_once },
-	{ "mesh: a configuration on its way", test_conf_behind },
+	{ "mesh: a transfer longer than the silence limit",
+	    test_conf_slow_transfer },
+	{ "mesh: a configuration is sent as a delta", test_conf_delta },
+	{ "mesh: configuration from one peer at a time",
+	    test_conf_from_one_peer },
+	{ "mesh: configuration bytes are limited", test_conf_by_bytes },
+	{ "mesh: a configuration does not wait for heartbeats",
+	    test_conf_at_once },
+	{ "mesh: a stale configuration", test_conf_stale },
 	{ "mesh: configuration while rows change",
 	    test_conf_while_rows_change },
-	{ "mesh: rows by bytes", test_rows_by_bytes },
+	{ "mesh: row bytes are limited", test_rows_by_bytes },
 	{ "mesh: slices used", test_slices_used },
 	{ "mesh: readers", test_readers },
-	{ "mesh: what is unchanged is fresh", test_unchanged_is_fresh },
+	{ "mesh: unchanged rows are current", test_rows_unchanged },
 	{ "mesh: endpoints that two could not reach", test_suspects },
-	{ "mesh: a job moves to the next home", test_job_moves },
+	{ "mesh: a job is handed off to the next coordinator",
+	    test_job_handed_off },
 	{ NULL, NULL },
 };
--- a/regress/t_pack.c
+++ b/regress/t_pack.c
@@ -1,5 +1,6 @@
 /**
- * DOC: Documents packed for the way between entries.
+ * DOC: Compression of documents sent between entries, and their revision
+ * history.
  */
 
 #include "mesh.h"
@@ -21,9 +22,9 @@
 	return g_string_free_to_bytes(s);
 }
 
-/* Guards against a document that comes out otherwise than it went in. */
+/* Guards against an unpacked document that differs from the packed one. */
 static void
-test_round(void)
+test_round_trip(void)
 {
 	GBytes *text = sample(), *packed = mh_pack(text, NULL), *back;
 	GBytes *nothing = g_bytes_new(NULL, 0);
@@ -40,9 +41,9 @@
 	g_bytes_unref(text);
 }
 
-/* Guards against a torn, overlong or foreign document that is taken. */
+/* Guards against accepting data that is truncated, too long or not packed. */
 static void
-test_odd(void)
+test_malformed(void)
 {
 	GBytes *text = sample(), *packed = mh_pack(text, NULL), *back;
 	const uint8_t *data = g_bytes_get_data(packed, NULL);
@@ -64,9 +65,9 @@
 	g_bytes_unref(text);
 }
 
-/* Guards against bytes turned over on the way: another document, or a fall. */
+/* Guards against a crash or a wrong document after a bit error. */
 static void
-test_flipped(void)
+test_bit_errors(void)
 {
 	GBytes *text = sample(), *packed = mh_pack(text, NULL);
 	gsize len;
@@ -91,9 +92,9 @@
 	g_bytes_unref(text);
 }
 
-/* Guards against a change whose cost grows with the document. */
+/* Guards against a delta whose size grows with the document. */
 static void
-test_change_alone(void)
+test_delta(void)
 {
 	static const size_t lens[] = { LEN, 4 * LEN };
 	size_t bytes[2];
@@ -120,7 +121,7 @@
 		CU_ASSERT_PTR_NOT_NULL_FATAL(back);
 		CU_ASSERT_TRUE(g_bytes_equal(back, mh_past_latest(p)));
 		g_bytes_unref(back);
-		/* by another text: nothing, not another document */
+		/* with another base: NULL and not a wrong document */
 		back = mh_unpack(g_bytes_get_data(packed, NULL), bytes[i],
 		    MH_UNPACKED_MOST, mh_past_text(p, 6));
 		CU_ASSERT_PTR_NULL(back);
@@ -134,9 +135,9 @@
 	}
 }
 
-/* Guards against texts that are kept without end. */
+/* Guards against a history that grows without limit. */
 static void
-test_past_is_bounded(void)
+test_history_is_bounded(void)
 {
 	struct mh_past *p = mh_past_create();
 	char *text = g_strnfill(1 << 20, 'x');
@@ -149,7 +150,8 @@
 		mh_past_add(p, v, text, v < 10 ? 10 : 1 << 20);
 	CU_ASSERT_PTR_NULL(mh_past_text(p, 16));
 	CU_ASSERT_PTR_NOT_NULL(mh_past_text(p, 17));
-	packed = mh_past_packed(p, 20, &base); /* who has the latest */
+	packed =
+	    mh_past_packed(p, 20, &base); /* a receiver that has the latest */
 	CU_ASSERT_EQUAL(base, 0);
 	g_bytes_unref(packed);
 	g_free(text);
@@ -157,10 +159,10 @@
 }
 
 const struct test tests_pack[] = {
-	{ "pack: there and back", test_round },
-	{ "pack: torn, overlong, foreign", test_odd },
-	{ "pack: bits turned over", test_flipped },
-	{ "pack: a change alone", test_change_alone },
-	{ "pack: texts are bounded", test_past_is_bounded },
+	{ "pack: round trip", test_round_trip },
+	{ "pack: malformed data", test_malformed },
+	{ "pack: bit errors", test_bit_errors },
+	{ "pack: delta", test_delta },
+	{ "pack: history is bounded", test_history_is_bounded },
 	{ NULL, NULL },
 };
--- a/regress/t_start.c
+++ b/regress/t_start.c
@@ -1,6 +1,6 @@
 /**
  * DOC: Entries that start, in virtual time: one alone, or all at once after a
- * loss of power.
+ * power loss.
  */
 
 #include "entwork.h"
@@ -12,7 +12,7 @@
 #define MS MH_US_PER_MS
 #define S MH_US_PER_S
 
-/* Its process ends; it comes back with nothing but the list of entries. */
+/* Restarts the process of an entry; it keeps only the list of entries. */
 static void
 restart(struct ment *e)
 {
@@ -22,41 +22,41 @@
 }
 
 /*
- * An entry restarts while the store is slow.  It has the list of entries, but
- * not yet the secret of their links: what it dialled then got neither link
- * nor failure, and it did its own stage work for the rest of its life.
+ * An entry restarts while the store is slow: it has the list of entries, but
+ * not yet the secret of the links. Dials begun then got neither a link nor a
+ * failure, and the entry did its own stage work until its next restart.
  */
 static void
-test_list_before_links(void)
+test_list_before_link_secret(void)
 {
 	struct mrig *r = mrig_create();
-	struct ment *home;
+	struct ment *coordinator;
 
 	mrig_run(r, 10 * S);
-	home = mrig_agreed(r);
+	coordinator = mrig_agreed(r);
 	for (uint32_t i = 0; i < ENTRIES; i++) {
 		struct ment *e = &r->e[i];
 
-		if (e == home)
+		if (e == coordinator)
 			continue;
 		e->no_links = true;
 		restart(e);
 		mrig_run(r, 700 * MS);
 		mrig_link(e);
 		mrig_run(r, 1 * S);
-		CU_ASSERT_PTR_EQUAL(mrig_agreed(r), home);
+		CU_ASSERT_PTR_EQUAL(mrig_agreed(r), coordinator);
 	}
 	mrig_destroy(r);
 }
 
 /*
- * All VMs lose power and come back within 0.2 s of each other.  Connections
- * to those that were still off hung for a second, and each entry that was
- * waiting took itself for the home of stage work: the endpoints refused most
- * of their calls, and for six seconds half of the requests were late.
+ * All VMs lose power and come back within 0.2 s of each other. Dials to VMs
+ * that were still off hung for a second, and each waiting entry took itself for
+ * the coordinator of stage work: the endpoints refused most calls, and half of
+ * the requests missed their latency objective for six seconds.
  */
 static void
-test_power_lost(void)
+test_power_loss(void)
 {
 	struct mrig *r = mrig_create();
 	uint32_t links = 0;
@@ -73,39 +73,42 @@
 	CU_ASSERT_PTR_NOT_NULL(mrig_agreed(r));
 	for (uint32_t i = 0; i < ENTRIES; i++)
 		links += r->e[i].dialled;
-	/* A few each, not one to every other: dials fail while they start. */
+	/*
+	 * A few each, not one to every other, though dials fail during the
+	 * start.
+	 */
 	CU_ASSERT(links <= ENTRIES * 5);
 	mrig_destroy(r);
 }
 
 /*
- * The links of all VMs are full of other bytes, and a new one takes 0.7 s to
- * open.  Dials that are given up after 0.15 s each time would never open one.
+ * The links of all VMs are congested, and a connection takes 0.7 s to open.
+ * Dials that are always given up after 0.15 s would never open one.
  */
 static void
-test_slow_to_open(void)
+test_slow_connect(void)
 {
 	struct mrig *r = mrig_create();
-	struct ment *home, *e;
+	struct ment *coordinator, *e;
 
 	mrig_run(r, 10 * S);
-	home = mrig_agreed(r);
+	coordinator = mrig_agreed(r);
 	for (uint32_t i = 0; i < ENTRIES; i++)
 		r->e[i].opens_us = 700 * MS;
-	e = &r->e[home->index == 0];
+	e = &r->e[coordinator->index == 0];
 	restart(e);
 	mrig_run(r, 4 * S);
-	CU_ASSERT_PTR_EQUAL(mrig_agreed(r), home);
+	CU_ASSERT_PTR_EQUAL(mrig_agreed(r), coordinator);
 	mrig_destroy(r);
 }
 
 /*
- * Several entries have read the registry anew.  One that has not asked each
- * of them, and their answers filled its link of 10 Mbit/s, through which its
- * callers come too: their answers took a quarter of a second.
+ * Several entries have later rows. An entry with older ones requested them from
+ * each, and the answers filled its link of 10 Mbit/s, which client requests
+ * share: responses took a quarter of a second.
  */
 static void
-test_rows_of_one(void)
+test_rows_from_one_peer(void)
 {
 	struct mrig *r = mrig_create();
 
@@ -121,18 +124,18 @@
 }
 
 /*
- * Requests come as soon as a process listens, before it knows of any other.
- * Their stage work waits for the tenths of a second until it does, and goes
- * to the home; begun alone it took an endpoint for one piece a call.
+ * Requests arrive as soon as a process listens, before it has links to others.
+ * Their stage work must wait some tenths of a second and go to the coordinator;
+ * begun alone it occupied an endpoint for one piece per call.
  */
 static void
-test_work_waits_for_others(void)
+test_work_waits_for_links(void)
 {
 	static const char *const pools[] = { "a", NULL };
 	const uint32_t pieces[] = { 2 };
 	struct mrig *r = mrig_create();
 	struct ent all[ENTRIES] = { 0 };
-	struct ment *home;
+	struct ment *coordinator;
 	struct mh_job *j[ENTRIES];
 	uint32_t calls = 0, ended = 0;
 
@@ -144,8 +147,8 @@
 		mh_broker_submit(all[i].b, j[i]);
 	}
 	mrig_run(r, 1 * S);
-	home = mrig_agreed(r);
-	CU_ASSERT_PTR_NOT_NULL_FATAL(home);
+	coordinator = mrig_agreed(r);
+	CU_ASSERT_PTR_NOT_NULL_FATAL(coordinator);
 	for (uint32_t i = 0; i < ENTRIES; i++) {
 		calls += all[i].calls;
 		ended += all[i].done;
@@ -153,14 +156,17 @@
 		mh_job_destroy(j[i]);
 	}
 	CU_ASSERT_EQUAL(ended, ENTRIES);
-	CU_ASSERT_EQUAL(all[home->index].calls, calls);
+	CU_ASSERT_EQUAL(all[coordinator->index].calls, calls);
 	mrig_run(r, 100 * MS);
 	for (uint32_t i = 0; i < ENTRIES; i++)
 		ent_destroy(&all[i]);
 	mrig_destroy(r);
 }
 
-/* A caller leaves while its stage work waits: it is forgotten. */
+/*
+ * A client disconnects while its stage work waits for the links: the job is
+ * dropped.
+ */
 static void
 test_waiting_work_dropped(void)
 {
@@ -184,11 +190,12 @@
 }
 
 /*
- * All start at once and read thousands of rows for seconds.  Not ready after
- * one, the first of the order gave way to the next, until all had links to all.
+ * All entries start at once and read thousands of rows for seconds. When an
+ * entry that wasn't ready after one second was skipped for the next of the
+ * order, all entries linked to all.
  */
 static void
-test_ready_late(void)
+test_slow_readiness(void)
 {
 	struct mrig *r = mrig_create();
 	uint32_t links = 0;
@@ -211,13 +218,13 @@
 }
 
 const struct test tests_start[] = {
-	{ "start: the list of entries before the links",
-	    test_list_before_links },
-	{ "start: power lost everywhere", test_power_lost },
-	{ "start: a link that is slow to open", test_slow_to_open },
-	{ "start: rows of one entry at a time", test_rows_of_one },
-	{ "start: work waits for the others", test_work_waits_for_others },
-	{ "start: ready after seconds", test_ready_late },
+	{ "start: list of entries before the link secret",
+	    test_list_before_link_secret },
+	{ "start: power loss everywhere", test_power_loss },
+	{ "start: slow connects", test_slow_connect },
+	{ "start: rows from one peer at a time", test_rows_from_one_peer },
+	{ "start: work waits for the links", test_work_waits_for_links },
+	{ "start: slow readiness", test_slow_readiness },
 	{ "start: waiting work dropped", test_waiting_work_dropped },
 	{ NULL, NULL },
 };
