--- a/lib/broker.c
+++ b/lib/broker.c
@@ -411,7 +411,7 @@
 }
 
 static const char *
-home_of(struct mh_broker *b, const Mh__Job *m)
+coordinator_of(struct mh_broker *b, const Mh__Job *m)
 {
 	char work[MH_WORK_LEN];
 
@@ -430,7 +430,7 @@
 		mh_cell_cancel(old->job->cell, old->job);
 		free_remote(b, old);
 	}
-	mh_mesh_hint(b->m, node, home_of(b, f->job));
+	mh_mesh_hint(b->m, node, coordinator_of(b, f->job));
 	r->b = b;
 	r->node = g_strdup(node);
 	r->job = read_job(b, f->job);
@@ -627,11 +627,11 @@
 }
 
 static void
-on_look(void *arg)
+on_check_timer(void *arg)
 {
 	struct mh_broker *b = arg;
 
-	b->look_timer = mh_timer_start(b->k, CHECK_US, on_look, b);
+	b->look_timer = mh_timer_start(b->k, CHECK_US, on_check_timer, b);
 	mh_cells_each(b->cells, check_role, b);
 }
 
@@ -659,7 +659,7 @@
 	b->guest_jobs = g_hash_table_new(NULL, NULL);
 	b->held = g_queue_new();
 	b->lost_checks = g_hash_table_new(NULL, NULL);
-	b->look_timer = mh_timer_start(k, CHECK_US, on_look, b);
+	b->look_timer = mh_timer_start(k, CHECK_US, on_check_timer, b);
 	mh_mesh_on(m, MH__FRAME__BODY_JOB, on_job, b);
 	mh_mesh_on(m, MH__FRAME__BODY_JOB_END, on_job_end, b);
 	mh_mesh_on(m, MH__FRAME__BODY_JOB_STEP, on_job_step, b);
