--- a/lib/broker.c
+++ b/lib/broker.c
@@ -39,12 +39,12 @@
 	struct mh_kern *k;
 	struct mh_mesh *m;
 	struct mh_scheds *cells;
-	GHashTable *sent; /* job -> struct sent_job */
-	GHashTable *guests; /* node/id -> struct remote_job */
-	GHashTable *guest_jobs; /* job -> struct remote_job */
-	GQueue *held; /* struct mh_job, until the settle time is over */
-	struct mh_timer *held_timer;
-	struct mh_timer *look_timer;
+	GHashTable *sent_jobs; /* job -> struct sent_job */
+	GHashTable *remote_jobs; /* node/id -> struct remote_job */
+	GHashTable *remote_by_job; /* job -> struct remote_job */
+	GQueue *waiting; /* struct mh_job, until the settle time is over */
+	struct mh_timer *settle_timer;
+	struct mh_timer *check_timer;
 	GHashTable *lost_checks; /* scheduler -> checks lost in a row */
 	void (*end)(
 	    void *arg, struct mh_job *j, enum mh_job_end end, int64_t retry_us);
@@ -168,7 +168,8 @@
 	struct sent_job *s;
 
 	mh_mesh_set_slices(b->m, count);
-	coordinator = mh_mesh_home(b->m, mh_slice_work(work, slice, count));
+	coordinator =
+	    mh_mesh_coordinator(b->m, mh_slice_work(work, slice, count));
 	if (mh_mesh_is_self(b->m, coordinator)) {
 		mh_sched_submit(mh_scheds_get(b->cells, slice, count), j);
 		return;
@@ -176,7 +177,7 @@
 	s = g_new0(struct sent_job, 1);
 	s->job = j;
 	s->node = g_strdup(coordinator);
-	g_hash_table_insert(b->sent, j, s);
+	g_hash_table_insert(b->sent_jobs, j, s);
 	mh_count(b->k, "jobs_sent", 1);
 	mh_event(b->k, "job-sent", "id=%s home=%s slice=%u/%u", j->id,
 	    coordinator, slice, count);
@@ -189,8 +190,8 @@
 	struct mh_broker *b = arg;
 	struct mh_job *j;
 
-	b->held_timer = NULL;
-	while ((j = g_queue_pop_head(b->held)) != NULL)
+	b->settle_timer = NULL;
+	while ((j = g_queue_pop_head(b->waiting)) != NULL)
 		submit(b, j);
 }
 
@@ -202,15 +203,15 @@
 void
 mh_broker_submit(struct mh_broker *b, struct mh_job *j)
 {
-	int64_t wait_us = mh_mesh_unsettled_us(b->m);
+	int64_t wait_us = mh_mesh_settle_us(b->m);
 
 	if (wait_us == 0) {
 		submit(b, j);
 		return;
 	}
-	g_queue_push_tail(b->held, j);
-	if (b->held_timer == NULL)
-		b->held_timer = mh_timer_start(b->k, wait_us, on_settled, b);
+	g_queue_push_tail(b->waiting, j);
+	if (b->settle_timer == NULL)
+		b->settle_timer = mh_timer_start(b->k, wait_us, on_settled, b);
 }
 
 /*
@@ -236,7 +237,7 @@
 void
 mh_broker_drop(struct mh_broker *b, struct mh_job *j)
 {
-	struct sent_job *s = g_hash_table_lookup(b->sent, j);
+	struct sent_job *s = g_hash_table_lookup(b->sent_jobs, j);
 	Mh__Frame f = MH__FRAME__INIT;
 	Mh__JobDrop d = MH__JOB_DROP__INIT;
 
@@ -244,7 +245,7 @@
 		mh_sched_cancel(j->sched, j);
 		return;
 	}
-	if (g_queue_remove(b->held, j) || s == NULL) {
+	if (g_queue_remove(b->waiting, j) || s == NULL) {
 		discard_results(b, j);
 		return;
 	}
@@ -252,7 +253,7 @@
 	f.body_case = MH__FRAME__BODY_JOB_DROP;
 	f.job_drop = &d;
 	mh_mesh_send(b->m, s->node, &f);
-	g_hash_table_remove(b->sent, j);
+	g_hash_table_remove(b->sent_jobs, j);
 }
 
 static void
@@ -300,7 +301,7 @@
 	GHashTableIter it;
 	gpointer key, value;
 
-	g_hash_table_iter_init(&it, b->sent);
+	g_hash_table_iter_init(&it, b->sent_jobs);
 	while (g_hash_table_iter_next(&it, &key, &value)) {
 		struct sent_job *s = value;
 
@@ -325,11 +326,11 @@
 		take_results(j, m);
 		if (!has_results(j))
 			end = MH_JOB_FAILED;
-		s = g_hash_table_lookup(b->sent, j);
+		s = g_hash_table_lookup(b->sent_jobs, j);
 		s->done = end == MH_JOB_DONE;
 	}
 	if (end != MH_JOB_DONE)
-		g_hash_table_remove(b->sent, j);
+		g_hash_table_remove(b->sent_jobs, j);
 	if (end == MH_JOB_HANDED_OFF) {
 		hand_off(b, j, node);
 		return;
@@ -367,8 +368,8 @@
 {
 	char *key = remote_key(r->node, r->job->id);
 
-	g_hash_table_remove(b->guest_jobs, r->job);
-	g_hash_table_remove(b->guests, key);
+	g_hash_table_remove(b->remote_by_job, r->job);
+	g_hash_table_remove(b->remote_jobs, key);
 	mh_job_destroy(r->job);
 	g_free(r->node);
 	g_free(r);
@@ -415,7 +416,8 @@
 {
 	char work[MH_WORK_LEN];
 
-	return mh_mesh_home(b->m, mh_slice_work(work, m->slice, m->slices));
+	return mh_mesh_coordinator(
+	    b->m, mh_slice_work(work, m->slice, m->slices));
 }
 
 static void
@@ -424,19 +426,19 @@
 	struct mh_broker *b = arg;
 	struct remote_job *r = g_new0(struct remote_job, 1);
 	char *key = remote_key(node, f->job->id);
-	struct remote_job *old = g_hash_table_lookup(b->guests, key);
+	struct remote_job *old = g_hash_table_lookup(b->remote_jobs, key);
 
 	if (old != NULL) {
 		mh_sched_cancel(old->job->sched, old->job);
 		free_remote(b, old);
 	}
-	mh_mesh_hint(b->m, node, coordinator_of(b, f->job));
+	mh_mesh_announce(b->m, node, coordinator_of(b, f->job));
 	r->b = b;
 	r->node = g_strdup(node);
 	r->job = read_job(b, f->job);
 	r->job->submitter = r;
-	g_hash_table_insert(b->guests, key, r);
-	g_hash_table_insert(b->guest_jobs, r->job, r);
+	g_hash_table_insert(b->remote_jobs, key, r);
+	g_hash_table_insert(b->remote_by_job, r->job, r);
 	mh_count(b->k, "jobs_guest", 1);
 	mh_sched_submit(mh_scheds_get(b->cells, f->job->slice % MH_SLICES,
 			    CLAMP(f->job->slices, 1, MH_SLICES)),
@@ -448,7 +450,7 @@
 {
 	struct mh_broker *b = arg;
 	char *key = remote_key(node, f->job_drop->id);
-	struct remote_job *r = g_hash_table_lookup(b->guests, key);
+	struct remote_job *r = g_hash_table_lookup(b->remote_jobs, key);
 
 	g_free(key);
 	if (r == NULL)
@@ -497,9 +499,9 @@
 }
 
 void
-mh_broker_cell_step(struct mh_broker *b, struct mh_job *j, uint32_t stage)
+mh_broker_stage_changed(struct mh_broker *b, struct mh_job *j, uint32_t stage)
 {
-	struct remote_job *r = g_hash_table_lookup(b->guest_jobs, j);
+	struct remote_job *r = g_hash_table_lookup(b->remote_by_job, j);
 	char **results = results_of(&j->stages[stage]);
 	Mh__Frame f = MH__FRAME__INIT;
 	Mh__JobStep m = MH__JOB_STEP__INIT;
@@ -522,10 +524,10 @@
 }
 
 void
-mh_broker_cell_end(struct mh_broker *b, struct mh_job *j, enum mh_job_end end,
+mh_broker_job_ended(struct mh_broker *b, struct mh_job *j, enum mh_job_end end,
     int64_t retry_us)
 {
-	struct remote_job *r = g_hash_table_lookup(b->guest_jobs, j);
+	struct remote_job *r = g_hash_table_lookup(b->remote_by_job, j);
 
 	if (r == NULL && end == MH_JOB_HANDED_OFF) {
 		hand_off(b, j, "here");
@@ -541,7 +543,7 @@
 	 * later stage as computed, and both would be computed again.
 	 */
 	for (uint32_t s = j->n_stages; s > 0 && end == MH_JOB_HANDED_OFF; s--)
-		mh_broker_cell_step(b, j, s - 1);
+		mh_broker_stage_changed(b, j, s - 1);
 	send_end(b, r, end, retry_us);
 	if (end != MH_JOB_DONE)
 		free_remote(b, r);
@@ -552,7 +554,7 @@
 static void
 drop_remotes(struct mh_broker *b, const char *node)
 {
-	GList *all = g_hash_table_get_values(b->guests);
+	GList *all = g_hash_table_get_values(b->remote_jobs);
 
 	for (GList *l = all; l != NULL; l = l->next) {
 		struct remote_job *r = l->data;
@@ -569,18 +571,18 @@
 on_lost(void *arg, const char *node)
 {
 	struct mh_broker *b = arg;
-	GList *all = g_hash_table_get_keys(b->sent);
+	GList *all = g_hash_table_get_keys(b->sent_jobs);
 	bool done;
 
 	drop_remotes(b, node);
 	for (GList *l = all; l != NULL; l = l->next) {
 		struct mh_job *j = l->data;
-		struct sent_job *s = g_hash_table_lookup(b->sent, j);
+		struct sent_job *s = g_hash_table_lookup(b->sent_jobs, j);
 
 		if (s == NULL || strcmp(s->node, node) != 0)
 			continue;
 		done = s->done;
-		g_hash_table_remove(b->sent, j);
+		g_hash_table_remove(b->sent_jobs, j);
 		if (done)
 			continue; /* the results don't depend on that entry */
 		hand_off(b, j, node);
@@ -612,8 +614,8 @@
 	 * Reset the count also without work: otherwise the next loss of the
 	 * role was not noticed, and this entry kept its jobs.
 	 */
-	if (mh_mesh_is_self(
-		b->m, mh_mesh_home(b->m, mh_slice_work(work, index, count)))) {
+	if (mh_mesh_is_self(b->m,
+		mh_mesh_coordinator(b->m, mh_slice_work(work, index, count)))) {
 		g_hash_table_remove(b->lost_checks, c);
 		return;
 	}
@@ -631,7 +633,7 @@
 {
 	struct mh_broker *b = arg;
 
-	b->look_timer = mh_timer_start(b->k, CHECK_US, on_check_timer, b);
+	b->check_timer = mh_timer_start(b->k, CHECK_US, on_check_timer, b);
 	mh_scheds_foreach(b->cells, check_role, b);
 }
 
@@ -653,13 +655,13 @@
 	b->k = k;
 	b->m = m;
 	b->cells = cells;
-	b->sent = g_hash_table_new_full(NULL, NULL, NULL, free_sent);
-	b->guests =
+	b->sent_jobs = g_hash_table_new_full(NULL, NULL, NULL, free_sent);
+	b->remote_jobs =
 	    g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-	b->guest_jobs = g_hash_table_new(NULL, NULL);
-	b->held = g_queue_new();
+	b->remote_by_job = g_hash_table_new(NULL, NULL);
+	b->waiting = g_queue_new();
 	b->lost_checks = g_hash_table_new(NULL, NULL);
-	b->look_timer = mh_timer_start(k, CHECK_US, on_check_timer, b);
+	b->check_timer = mh_timer_start(k, CHECK_US, on_check_timer, b);
 	mh_mesh_on(m, MH__FRAME__BODY_JOB, on_job, b);
 	mh_mesh_on(m, MH__FRAME__BODY_JOB_END, on_job_end, b);
 	mh_mesh_on(m, MH__FRAME__BODY_JOB_STEP, on_job_step, b);
@@ -675,11 +677,11 @@
 
 	if (b == NULL)
 		return;
-	mh_timer_stop(b->k, &b->held_timer);
-	mh_timer_stop(b->k, &b->look_timer);
-	g_queue_free(b->held);
+	mh_timer_stop(b->k, &b->settle_timer);
+	mh_timer_stop(b->k, &b->check_timer);
+	g_queue_free(b->waiting);
 	g_hash_table_destroy(b->lost_checks);
-	all = g_hash_table_get_values(b->guests);
+	all = g_hash_table_get_values(b->remote_jobs);
 	for (GList *l = all; l != NULL; l = l->next) {
 		struct remote_job *r = l->data;
 
@@ -687,8 +689,8 @@
 		free_remote(b, r);
 	}
 	g_list_free(all);
-	g_hash_table_destroy(b->guests);
-	g_hash_table_destroy(b->guest_jobs);
-	g_hash_table_destroy(b->sent);
+	g_hash_table_destroy(b->remote_jobs);
+	g_hash_table_destroy(b->remote_by_job);
+	g_hash_table_destroy(b->sent_jobs);
 	g_free(b);
 }
--- a/lib/listed.c
+++ b/lib/liveness.c
@@ -16,16 +16,16 @@
 	uint32_t round;
 };
 
-struct mh_listed {
+struct mh_liveness {
 	GHashTable *seen; /* node -> struct seen */
 	uint32_t round;
 	uint32_t alive; /* in this round */
 };
 
-struct mh_listed *
-mh_listed_create(void)
+struct mh_liveness *
+mh_liveness_create(void)
 {
-	struct mh_listed *l = g_new0(struct mh_listed, 1);
+	struct mh_liveness *l = g_new0(struct mh_liveness, 1);
 
 	l->seen =
 	    g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
@@ -33,7 +33,7 @@
 }
 
 void
-mh_listed_destroy(struct mh_listed *l)
+mh_liveness_destroy(struct mh_liveness *l)
 {
 	if (l == NULL)
 		return;
@@ -42,15 +42,15 @@
 }
 
 void
-mh_listed_begin(struct mh_listed *l)
+mh_liveness_begin(struct mh_liveness *l)
 {
 	l->round++;
 	l->alive = 0;
 }
 
 void
-mh_listed_note(
-    struct mh_listed *l, const char *node, bool alive, int64_t now_us)
+mh_liveness_note(
+    struct mh_liveness *l, const char *node, bool alive, int64_t now_us)
 {
 	struct seen *s = g_hash_table_lookup(l->seen, node);
 
@@ -66,7 +66,7 @@
 }
 
 GPtrArray *
-mh_listed_gone(struct mh_listed *l, int64_t now_us)
+mh_liveness_departed(struct mh_liveness *l, int64_t now_us)
 {
 	GPtrArray *departed = g_ptr_array_new_with_free_func(g_free);
 	GHashTableIter it;
--- a/lib/mesh.c
+++ b/lib/mesh.c
@@ -56,14 +56,14 @@
 uint64_t
 mh_peer_link(const struct peer *p)
 {
-	return p->out != 0 ? p->out : p->in;
+	return p->out_conn != 0 ? p->out_conn : p->in_conn;
 }
 
 bool
-mh_peer_alive(const struct peer *p)
+mh_peer_is_alive(const struct peer *p)
 {
 	return mh_peer_link(p) != 0 &&
-	    mh_now(p->m->k) - p->heard_us < SILENT_US;
+	    mh_now(p->m->k) - p->last_recv_us < SILENT_US;
 }
 
 /* frames */
@@ -121,28 +121,28 @@
 mh_mesh_on(
     struct mh_mesh *m, Mh__Frame__BodyCase kind, mh_mesh_fn fn, void *arg)
 {
-	m->on[kind].fn = fn;
-	m->on[kind].arg = arg;
+	m->handlers[kind].fn = fn;
+	m->handlers[kind].arg = arg;
 }
 
 void
 mh_mesh_on_lost(
     struct mh_mesh *m, void (*fn)(void *arg, const char *node), void *arg)
 {
-	m->lost = fn;
-	m->lost_arg = arg;
+	m->on_lost = fn;
+	m->on_lost_arg = arg;
 }
 
 void
 mh_mesh_on_up(
     struct mh_mesh *m, void (*fn)(void *arg, const char *node), void *arg)
 {
-	m->up = fn;
-	m->up_arg = arg;
+	m->on_up = fn;
+	m->on_up_arg = arg;
 }
 
 bool
-mh_mesh_passes_on(struct mh_mesh *m)
+mh_mesh_is_relay(struct mh_mesh *m)
 {
 	uint32_t linked = 0, known = 0;
 	GHashTableIter it;
@@ -151,13 +151,13 @@
 	g_hash_table_iter_init(&it, m->peers);
 	while (g_hash_table_iter_next(&it, NULL, &value)) {
 		linked += mh_peer_link(value) != 0;
-		known += mh_peer_known(value);
+		known += mh_peer_is_member(value);
 	}
 	return linked * 2 >= known;
 }
 
 void
-mh_mesh_share(struct mh_mesh *m, const struct mh_mesh_view *v)
+mh_mesh_set_view(struct mh_mesh *m, const struct mh_mesh_view *v)
 {
 	m->view = *v;
 }
@@ -166,13 +166,13 @@
 static bool
 is_starting(const struct mh_mesh *m)
 {
-	return mh_now(m->k) - mh_mesh_begun_us(m) < STARTUP_US;
+	return mh_now(m->k) - mh_mesh_start_us(m) < STARTUP_US;
 }
 
 int64_t
-mh_mesh_begun_us(const struct mh_mesh *m)
+mh_mesh_start_us(const struct mh_mesh *m)
 {
-	return MAX(m->started_us, m->woke_us);
+	return MAX(m->started_us, m->resumed_us);
 }
 
 /*
@@ -186,18 +186,18 @@
 
 	mh_event(m->k, "woke", "away_ms=%" PRId64, mh_ms(pause_us));
 	mh_count(m->k, "mesh_wakes", 1);
-	m->woke_us = mh_now(m->k);
+	m->resumed_us = mh_now(m->k);
 	g_hash_table_iter_init(&it, m->peers);
 	while (g_hash_table_iter_next(&it, &key, &value)) {
 		struct peer *p = value;
 
-		p->failed = false;
-		p->tried_us = 0;
-		p->dials = 0;
-		p->dial_us = 0;
+		p->unreachable = false;
+		p->first_dial_us = 0;
+		p->dial_timeouts = 0;
+		p->next_dial_us = 0;
 		/* Frames that it sent during the pause are still unread. */
 		if (mh_peer_link(p) != 0)
-			p->heard_us = m->woke_us;
+			p->last_recv_us = m->resumed_us;
 	}
 	mh_timer_stop(m->k, &m->timer);
 	m->timer = mh_timer_start(m->k, 0, on_timer, m);
@@ -212,22 +212,22 @@
  * heartbeats, as after a start.
  */
 void
-mh_mesh_look(struct mh_mesh *m)
+mh_mesh_check_pause(struct mh_mesh *m)
 {
-	int64_t now = mh_now(m->k), late_us = now - m->ticked_us;
+	int64_t now = mh_now(m->k), late_us = now - m->last_timer_us;
 
 	if (late_us <= PAUSE_US)
 		return;
-	m->ticked_us = now;
+	m->last_timer_us = now;
 	handle_resume(m, late_us);
 }
 
 static void
 fill_heartbeat(struct mh_mesh *m, Mh__Beat *b)
 {
-	int64_t oldest = mh_mesh_oldest(m);
+	int64_t oldest = mh_mesh_oldest_start_us(m);
 
-	b->leaving = m->leaving;
+	b->leaving = m->draining;
 	b->uptime_us = (uint64_t)(mh_now(m->k) - m->started_us);
 	b->weight = mh_weight_units(m->weight);
 	if (oldest != INT64_MAX)
@@ -235,7 +235,7 @@
 	if (m->view.ready == NULL)
 		return;
 	b->ready = m->view.ready(m->view.arg);
-	b->reads = m->view.reads(m->view.arg);
+	b->reads = m->view.can_read(m->view.arg);
 	b->conf_revision = m->view.conf_revision(m->view.arg);
 	b->rows_revision = m->view.rows_revision(m->view.arg);
 	b->rows_age_us = (uint64_t)m->view.rows_age_us(m->view.arg);
@@ -247,7 +247,7 @@
 }
 
 void
-mh_mesh_beat(struct mh_mesh *m, uint64_t conn)
+mh_mesh_heartbeat(struct mh_mesh *m, uint64_t conn)
 {
 	Mh__Frame f = MH__FRAME__INIT;
 	Mh__Beat b = MH__BEAT__INIT;
@@ -264,26 +264,27 @@
 static void
 take_heartbeat(struct mh_mesh *m, struct peer *p, const Mh__Beat *b)
 {
-	bool starts_drain = b->leaving && !p->leaving;
-	int64_t oldest = starts_drain ? mh_mesh_oldest(m) : 0;
+	bool starts_drain = b->leaving && !p->draining;
+	int64_t oldest = starts_drain ? mh_mesh_oldest_start_us(m) : 0;
 
 	p->ready = b->ready;
-	p->reads = b->reads;
+	p->can_read = b->reads;
 	p->conf_revision = b->conf_revision;
 	if (b->weight > 0)
 		p->weight = b->weight / WEIGHT_UNIT;
 	p->started_us = mh_now(m->k) - (int64_t)b->uptime_us;
-	p->oldest_us = b->oldest_us == 0 ? INT64_MAX
-					 : mh_now(m->k) - (int64_t)b->oldest_us;
+	p->oldest_start_us = b->oldest_us == 0
+	    ? INT64_MAX
+	    : mh_now(m->k) - (int64_t)b->oldest_us;
 	if (starts_drain)
 		mh_event(m->k, "peer-leaving", "node=%s", p->node);
-	p->leaving = b->leaving;
+	p->draining = b->leaving;
 	/*
 	 * Other entries may know its start time only through our heartbeat, and
 	 * would go on skipping all entries that have run for less long.
 	 */
-	if (starts_drain && oldest != mh_mesh_oldest(m))
-		mh_mesh_beat(m, 0);
+	if (starts_drain && oldest != mh_mesh_oldest_start_us(m))
+		mh_mesh_heartbeat(m, 0);
 	mh_mesh_compare_views(m, p, b);
 }
 
@@ -300,7 +301,7 @@
 		mh_link_close(m->k, l->conn);
 		goto done;
 	}
-	p->heard_us = mh_now(m->k);
+	p->last_recv_us = mh_now(m->k);
 	switch (f->body_case) {
 	case MH__FRAME__BODY_BEAT:
 		take_heartbeat(m, p, f->beat);
@@ -315,9 +316,9 @@
 		mh_mesh_take_view(m, p, f->view);
 		break;
 	default:
-		if (m->on[f->body_case].fn != NULL)
-			m->on[f->body_case].fn(
-			    m->on[f->body_case].arg, p->node, f);
+		if (m->handlers[f->body_case].fn != NULL)
+			m->handlers[f->body_case].fn(
+			    m->handlers[f->body_case].arg, p->node, f);
 		break;
 	}
 done:
@@ -335,8 +336,8 @@
 
 	if (p == NULL)
 		return;
-	p->heard_us = mh_now(m->k);
-	mh_mesh_answer_comes(m, p);
+	p->last_recv_us = mh_now(m->k);
+	mh_mesh_view_arriving(m, p);
 }
 
 /* links */
@@ -365,7 +366,7 @@
 link_up(struct mh_mesh *m, const struct mh_link_msg *l)
 {
 	struct peer *p = mh_peer_of(m, l->vm);
-	uint64_t *slot = l->inbound ? &p->in : &p->out;
+	uint64_t *slot = l->inbound ? &p->in_conn : &p->out_conn;
 
 	if (*slot != 0 && *slot != l->conn) {
 		uint64_t old = *slot;
@@ -375,38 +376,38 @@
 	}
 	*slot = l->conn;
 	if (!l->inbound)
-		p->dial = 0;
+		p->dial_conn = 0;
 	if (p->addr == NULL)
 		p->addr = g_strdup(l->addr);
-	p->heard_us = mh_now(m->k);
-	p->oldest_us = INT64_MAX; /* until its first heartbeat */
+	p->last_recv_us = mh_now(m->k);
+	p->oldest_start_us = INT64_MAX; /* until its first heartbeat */
 	if (p->started_us == 0)
-		p->started_us = p->heard_us;
-	p->failed = false;
-	p->tried_us = 0;
-	p->dials = 0;
-	p->asked_us = 0;
-	p->asked = 0;
+		p->started_us = p->last_recv_us;
+	p->unreachable = false;
+	p->first_dial_us = 0;
+	p->dial_timeouts = 0;
+	p->last_request_us = 0;
+	p->requested = 0;
 	add_conn(m, l->conn, p);
 	/*
 	 * The peer must not wait for our next periodic heartbeat to learn that
 	 * we can serve.
 	 */
-	mh_mesh_beat(m, l->conn);
+	mh_mesh_heartbeat(m, l->conn);
 	mh_event(m->k, "peer-up", "node=%s addr=%s inbound=%d", p->node,
 	    l->addr, l->inbound);
-	if (m->up != NULL)
-		m->up(m->up_arg, p->node);
+	if (m->on_up != NULL)
+		m->on_up(m->on_up_arg, p->node);
 }
 
 static void
 peer_lost(struct mh_mesh *m, struct peer *p, const char *why)
 {
 	mh_event(m->k, "peer-lost", "node=%s why=%s silent_ms=%" PRId64,
-	    p->node, why, mh_ms(mh_now(m->k) - p->heard_us));
+	    p->node, why, mh_ms(mh_now(m->k) - p->last_recv_us));
 	p->ready = false;
-	if (m->lost != NULL)
-		m->lost(m->lost_arg, p->node);
+	if (m->on_lost != NULL)
+		m->on_lost(m->on_lost_arg, p->node);
 }
 
 /*
@@ -417,7 +418,7 @@
 static void
 note_dial_failed(struct mh_mesh *m, struct peer *p)
 {
-	p->failed = mh_now(m->k) - p->tried_us >= UNREACHABLE_US;
+	p->unreachable = mh_now(m->k) - p->first_dial_us >= UNREACHABLE_US;
 }
 
 static void
@@ -432,12 +433,12 @@
 	if (!was_linked)
 		note_dial_failed(m, p);
 	g_hash_table_remove(m->conns, &conn);
-	if (p->dial == conn)
-		p->dial = 0;
-	if (p->out == conn)
-		p->out = 0;
-	if (p->in == conn)
-		p->in = 0;
+	if (p->dial_conn == conn)
+		p->dial_conn = 0;
+	if (p->out_conn == conn)
+		p->out_conn = 0;
+	if (p->in_conn == conn)
+		p->in_conn = 0;
 	if (was_linked && mh_peer_link(p) == 0)
 		peer_lost(m, p, "closed");
 }
@@ -457,40 +458,41 @@
 static void
 check_silent(struct mh_mesh *m, struct peer *p)
 {
-	if (mh_peer_link(p) == 0 || mh_now(m->k) - p->heard_us < SILENT_US)
+	if (mh_peer_link(p) == 0 || mh_now(m->k) - p->last_recv_us < SILENT_US)
 		return;
 	/* A new connection may work although this one has gone silent. */
-	drop_link(m, &p->out);
-	drop_link(m, &p->in);
-	p->dial_us = mh_now(m->k);
+	drop_link(m, &p->out_conn);
+	drop_link(m, &p->in_conn);
+	p->next_dial_us = mh_now(m->k);
 	peer_lost(m, p, "silent");
 }
 
 static void
 check_dial_timeout(struct mh_mesh *m, struct peer *p)
 {
-	int64_t late_us = DIAL_TIMEOUT_US << MIN(p->dials, DIAL_DOUBLINGS);
+	int64_t late_us = DIAL_TIMEOUT_US
+	    << MIN(p->dial_timeouts, DIAL_DOUBLINGS);
 
-	if (p->dial == 0 || mh_now(m->k) - p->dialled_us < late_us)
+	if (p->dial_conn == 0 || mh_now(m->k) - p->dial_start_us < late_us)
 		return;
-	p->dials++;
+	p->dial_timeouts++;
 	mh_count(m->k, "dials_hung", 1);
-	drop_link(m, &p->dial);
+	drop_link(m, &p->dial_conn);
 	note_dial_failed(m, p);
-	p->dial_us = mh_now(m->k);
+	p->next_dial_us = mh_now(m->k);
 }
 
 static void
 dial(struct mh_mesh *m, struct peer *p)
 {
-	p->dial = mh_next_id(m->k);
-	p->dialled_us = mh_now(m->k);
-	if (p->tried_us == 0)
-		p->tried_us = p->dialled_us;
-	p->dial_us =
+	p->dial_conn = mh_next_id(m->k);
+	p->dial_start_us = mh_now(m->k);
+	if (p->first_dial_us == 0)
+		p->first_dial_us = p->dial_start_us;
+	p->next_dial_us =
 	    mh_now(m->k) + (is_starting(m) ? STARTUP_REDIAL_US : REDIAL_US);
-	add_conn(m, p->dial, p);
-	mh_link_dial(m->k, p->dial, p->addr);
+	add_conn(m, p->dial_conn, p);
+	mh_link_dial(m->k, p->dial_conn, p->addr);
 }
 
 static void
@@ -507,33 +509,34 @@
 	gpointer key, value;
 
 	m->timer = NULL;
-	mh_mesh_look(m);
-	m->ticked_us = mh_now(m->k);
-	mh_mesh_want_links(m);
+	mh_mesh_check_pause(m);
+	m->last_timer_us = mh_now(m->k);
+	mh_mesh_select_links(m);
 	g_hash_table_iter_init(&it, m->peers);
 	while (g_hash_table_iter_next(&it, &key, &value)) {
 		struct peer *p = value;
 
 		check_silent(m, p);
 		check_dial_timeout(m, p);
-		if (mh_peer_link(p) == 0 && p->dial == 0 && !mh_peer_known(p)) {
+		if (mh_peer_link(p) == 0 && p->dial_conn == 0 &&
+		    !mh_peer_is_member(p)) {
 			g_hash_table_iter_remove(&it);
 			continue;
 		}
-		if (can_dial && p->out == 0 && p->dial == 0 &&
-		    mh_peer_known(p) && p->addr != NULL &&
-		    mh_now(m->k) >= p->dial_us && p->wanted)
+		if (can_dial && p->out_conn == 0 && p->dial_conn == 0 &&
+		    mh_peer_is_member(p) && p->addr != NULL &&
+		    mh_now(m->k) >= p->next_dial_us && p->want_link)
 			dial(m, p);
 	}
-	mh_mesh_told_anew(m);
-	mh_mesh_beat(m, 0);
+	mh_mesh_reset_sent_bytes(m);
+	mh_mesh_heartbeat(m, 0);
 	mh_timer_stop(m->k, &m->timer);
 	m->timer = mh_timer_start(m->k,
 	    is_starting(m) ? STARTUP_HEARTBEAT_US : HEARTBEAT_US, on_timer, m);
 }
 
 void
-mh_mesh_list_some(struct mh_mesh *m, const GPtrArray *members)
+mh_mesh_add_members(struct mh_mesh *m, const GPtrArray *members)
 {
 	for (guint i = 0; i < members->len; i++) {
 		const struct mh_member *e = g_ptr_array_index(members, i);
@@ -550,7 +553,7 @@
 }
 
 void
-mh_mesh_list(struct mh_mesh *m, const GPtrArray *members)
+mh_mesh_set_members(struct mh_mesh *m, const GPtrArray *members)
 {
 	GHashTableIter it;
 	gpointer key, value;
@@ -559,11 +562,11 @@
 	g_hash_table_iter_init(&it, m->peers);
 	while (g_hash_table_iter_next(&it, &key, &value))
 		((struct peer *)value)->listed = false;
-	mh_mesh_list_some(m, members);
+	mh_mesh_add_members(m, members);
 }
 
 bool
-mh_mesh_hears(const struct mh_mesh *m, const char *node)
+mh_mesh_is_alive(const struct mh_mesh *m, const char *node)
 {
 	GHashTableIter it;
 	gpointer value;
@@ -572,21 +575,21 @@
 		const struct peer *p = g_hash_table_lookup(m->peers, node);
 
 		return strcmp(node, m->node) == 0 ||
-		    (p != NULL && mh_peer_alive(p));
+		    (p != NULL && mh_peer_is_alive(p));
 	}
 	g_hash_table_iter_init(&it, m->peers);
 	while (g_hash_table_iter_next(&it, NULL, &value)) {
-		if (mh_peer_alive(value))
+		if (mh_peer_is_alive(value))
 			return true;
 	}
 	return false;
 }
 
 void
-mh_mesh_leave(struct mh_mesh *m)
+mh_mesh_drain(struct mh_mesh *m)
 {
-	m->leaving = true;
-	mh_mesh_beat(m, 0);
+	m->draining = true;
+	mh_mesh_heartbeat(m, 0);
 }
 
 static void
@@ -632,7 +635,7 @@
 	m->k = k;
 	m->node = g_strdup(node);
 	m->weight = mh_weight_units(weight) / WEIGHT_UNIT;
-	m->started_us = m->ticked_us = mh_now(k);
+	m->started_us = m->last_timer_us = mh_now(k);
 	m->slices = 1;
 	m->peers =
 	    g_hash_table_new_full(g_str_hash, g_str_equal, NULL, free_peer);
--- a/lib/mesh.h
+++ b/lib/mesh.h
@@ -43,7 +43,7 @@
  * struct mh_view_reply - data that another entry requested; NULL: not
  * requested.
  */
-struct mh_shared {
+struct mh_view_reply {
 	GBytes *conf;
 	uint64_t conf_base; /* revision that @conf is packed against; 0: none */
 	GBytes *rows;
@@ -65,14 +65,16 @@
 	 */
 	bool (*rows_due)(void *arg);
 	/* base revision of requested changes; 0: requests all rows */
-	uint64_t (*rows_have)(void *arg);
+	uint64_t (*rows_base)(void *arg);
 	int64_t (*rows_age_us)(void *arg);
 	/* another entry read the revision that we have @age_us ago */
-	void (*rows_same)(void *arg, int64_t age_us);
-	void (*fill)(void *arg, const Mh__ViewAsk *req, struct mh_shared *out);
+	void (*rows_unchanged)(void *arg, int64_t age_us);
+	void (*fill)(
+	    void *arg, const Mh__ViewAsk *req, struct mh_view_reply *out);
 	void (*take)(void *arg, const Mh__View *v);
 	bool (*ready)(void *arg);
-	bool (*reads)(void *arg); /* whether the platform answers our reads */
+	bool (*can_read)(
+	    void *arg); /* whether the platform answers our reads */
 	uint64_t (*evacuated_revision)(void *arg); /* NULL: not shared */
 	/*
 	 * revision of the complete list of entries, 0: unknown; NULL: the list
@@ -85,21 +87,21 @@
 
 struct mh_mesh *mh_mesh_create(
     struct mh_kern *k, const char *node, double weight);
-void mh_mesh_share(struct mh_mesh *m, const struct mh_mesh_view *v);
+void mh_mesh_set_view(struct mh_mesh *m, const struct mh_mesh_view *v);
 /**
  * mh_mesh_set_members() - replaces the list of entries.
  * @members: struct mh_member
  */
-void mh_mesh_list(struct mh_mesh *m, const GPtrArray *members);
+void mh_mesh_set_members(struct mh_mesh *m, const GPtrArray *members);
 /**
  * mh_mesh_add_members() - adds entries while the complete list is not known.
  */
-void mh_mesh_list_some(struct mh_mesh *m, const GPtrArray *members);
+void mh_mesh_add_members(struct mh_mesh *m, const GPtrArray *members);
 /**
  * mh_mesh_is_alive() - whether @node is linked and not silent.
  * @node: NULL: whether any other entry is
  */
-bool mh_mesh_hears(const struct mh_mesh *m, const char *node);
+bool mh_mesh_is_alive(const struct mh_mesh *m, const char *node);
 void mh_mesh_on(
     struct mh_mesh *m, Mh__Frame__BodyCase kind, mh_mesh_fn fn, void *arg);
 /**
@@ -117,37 +119,38 @@
  * Most entries are linked only to the first few of the order. These few forward
  * what every entry should receive.
  */
-bool mh_mesh_passes_on(struct mh_mesh *m);
+bool mh_mesh_is_relay(struct mh_mesh *m);
 /** mh_mesh_send() - false when there is no link to @node. */
 bool mh_mesh_send(struct mh_mesh *m, const char *node, Mh__Frame *f);
 /**
  * mh_mesh_coordinator() - name of the live entry that coordinates @what; may be
  * this entry. Borrowed.
  */
-const char *mh_mesh_home(struct mh_mesh *m, const char *what);
+const char *mh_mesh_coordinator(struct mh_mesh *m, const char *what);
 /**
  * mh_mesh_announce() - sends @node the address of a coordinator that it does
  * not seem to know; does nothing if @node itself is the coordinator.
  */
-void mh_mesh_hint(struct mh_mesh *m, const char *node, const char *coordinator);
+void mh_mesh_announce(
+    struct mh_mesh *m, const char *node, const char *coordinator);
 bool mh_mesh_is_self(const struct mh_mesh *m, const char *node);
 /**
  * mh_mesh_settle_us() - time to wait for heartbeats of other entries after a
  * start or a pause, in us; 0: it is over.
  */
-int64_t mh_mesh_unsettled_us(struct mh_mesh *m);
+int64_t mh_mesh_settle_us(struct mh_mesh *m);
 /**
  * mh_mesh_is_reader() - whether this entry reads from the platform for others.
  *
  * A few entries read what all need and send it to the others, so that the load
  * on the platform does not grow with the number of entries.
  */
-bool mh_mesh_reads(struct mh_mesh *m);
+bool mh_mesh_is_reader(struct mh_mesh *m);
 /**
  * mh_mesh_may_read() - whether this entry may become a reader, by membership
  * alone; at a start no heartbeats have been received yet.
  */
-bool mh_mesh_first(const struct mh_mesh *m);
+bool mh_mesh_may_read(const struct mh_mesh *m);
 /**
  * mh_mesh_slices() - computes the slices that this entry uses; returns their
  * number.
@@ -177,18 +180,18 @@
  * mh_mesh_conf_stale() - whether another entry has announced a later
  * configuration than ours.
  */
-bool mh_mesh_conf_behind(const struct mh_mesh *m);
+bool mh_mesh_conf_stale(const struct mh_mesh *m);
 /**
  * mh_mesh_conf_available() - whether a live entry has a later configuration.
  */
-bool mh_mesh_conf_offered(const struct mh_mesh *m);
+bool mh_mesh_conf_available(const struct mh_mesh *m);
 /**
  * mh_mesh_conf_stale_us() - for how long our configuration has been stale,
  * without pauses of this process; 0: it is current.
  */
-int64_t mh_mesh_conf_behind_us(const struct mh_mesh *m);
+int64_t mh_mesh_conf_stale_us(const struct mh_mesh *m);
 /** mh_mesh_drain() - announces that this entry coordinates no new work. */
-void mh_mesh_leave(struct mh_mesh *m);
+void mh_mesh_drain(struct mh_mesh *m);
 /** mh_mesh_size() - entries that are listed or alive, including this one. */
 uint32_t mh_mesh_size(struct mh_mesh *m);
 
@@ -198,7 +201,7 @@
 /* pack.c: compression of documents sent between entries */
 
 /* Maximum size of an unpacked document, in bytes. */
-#define MH_UNPACKED_MOST (16U << 20)
+#define MH_UNPACKED_MAX (16U << 20)
 
 /**
  * mh_bytes_clear() - drops the reference in @b, if any, and sets it to NULL.
@@ -223,44 +226,44 @@
 
 /* history.c: recent revisions of a document, and the changes between them */
 
-struct mh_past;
+struct mh_history;
 
-struct mh_past *mh_past_create(void);
-void mh_past_destroy(struct mh_past *p);
+struct mh_history *mh_history_create(void);
+void mh_history_destroy(struct mh_history *p);
 /** mh_history_add() - adds a text as the latest revision. */
-void mh_past_add(
-    struct mh_past *p, uint64_t revision, const char *data, size_t len);
+void mh_history_add(
+    struct mh_history *p, uint64_t revision, const char *data, size_t len);
 /** mh_history_text() - text of @revision, borrowed; NULL if it is not kept. */
-GBytes *mh_past_text(const struct mh_past *p, uint64_t revision);
+GBytes *mh_history_text(const struct mh_history *p, uint64_t revision);
 /** mh_history_latest() - latest text, borrowed; NULL if there is none. */
-GBytes *mh_past_latest(const struct mh_past *p);
+GBytes *mh_history_latest(const struct mh_history *p);
 /**
  * mh_history_packed() - latest text, packed for a receiver that has @since.
  * @base: set to the revision that it is packed against; 0: none
  *
  * Returns NULL if there is no text. The caller owns the result.
  */
-GBytes *mh_past_packed(struct mh_past *p, uint64_t since, uint64_t *base);
+GBytes *mh_history_packed(struct mh_history *p, uint64_t since, uint64_t *base);
 
 /* liveness.c: which of the listed entries have been dead for long */
 
-struct mh_listed;
+struct mh_liveness;
 
-struct mh_listed *mh_listed_create(void);
-void mh_listed_destroy(struct mh_listed *l);
+struct mh_liveness *mh_liveness_create(void);
+void mh_liveness_destroy(struct mh_liveness *l);
 /** mh_liveness_begin() - begins a new round over the list of entries. */
-void mh_listed_begin(struct mh_listed *l);
+void mh_liveness_begin(struct mh_liveness *l);
 /**
  * mh_liveness_note() - records that @node is listed.
  * @alive: whether it is linked and not silent
  */
-void mh_listed_note(
-    struct mh_listed *l, const char *node, bool alive, int64_t now_us);
+void mh_liveness_note(
+    struct mh_liveness *l, const char *node, bool alive, int64_t now_us);
 /**
  * mh_liveness_departed() - names of listed entries that have been dead for
  * long. The caller frees the array.
  */
-GPtrArray *mh_listed_gone(struct mh_listed *l, int64_t now_us);
+GPtrArray *mh_liveness_departed(struct mh_liveness *l, int64_t now_us);
 
 /* suspect.c: ejection of endpoints that several entries could not reach */
 
@@ -312,12 +315,13 @@
  * mh_broker_stage_changed() - callback of the stage scheduler: results of a
  * stage changed, for local and remote jobs.
  */
-void mh_broker_cell_step(struct mh_broker *b, struct mh_job *j, uint32_t stage);
+void mh_broker_stage_changed(
+    struct mh_broker *b, struct mh_job *j, uint32_t stage);
 /**
  * mh_broker_job_ended() - callback of the stage scheduler: a local or remote
  * job ended.
  */
-void mh_broker_cell_end(struct mh_broker *b, struct mh_job *j,
+void mh_broker_job_ended(struct mh_broker *b, struct mh_job *j,
     enum mh_job_end end, int64_t retry_us);
 
 #endif
--- a/lib/meshknown.c
+++ b/lib/meshgossip.c
@@ -20,9 +20,9 @@
 }
 
 bool
-mh_peer_known(const struct peer *p)
+mh_peer_is_member(const struct peer *p)
 {
-	return p->listed || mh_now(p->m->k) < p->told_until_us;
+	return p->listed || mh_now(p->m->k) < p->announced_until_us;
 }
 
 /*
@@ -34,7 +34,7 @@
  * another one coordinates announces that coordinator to the sender.
  */
 void
-mh_mesh_hint(struct mh_mesh *m, const char *node, const char *coordinator)
+mh_mesh_announce(struct mh_mesh *m, const char *node, const char *coordinator)
 {
 	struct peer *to = g_hash_table_lookup(m->peers, node);
 	struct peer *p = g_hash_table_lookup(m->peers, coordinator);
@@ -43,10 +43,10 @@
 
 	if (to == NULL || to == p || p == NULL || p->addr == NULL ||
 	    mh_peer_link(to) == 0 ||
-	    (to->hinted_us != 0 &&
-		mh_now(m->k) - to->hinted_us < ANNOUNCE_INTERVAL_US))
+	    (to->last_announce_us != 0 &&
+		mh_now(m->k) - to->last_announce_us < ANNOUNCE_INTERVAL_US))
 		return;
-	to->hinted_us = mh_now(m->k);
+	to->last_announce_us = mh_now(m->k);
 	k.node = p->node;
 	k.addr = p->addr;
 	k.weight = mh_weight_units(p->weight);
@@ -66,10 +66,10 @@
 	    !mh_addr_parse(k->addr, host, &port))
 		return;
 	p = mh_peer_of(m, k->node);
-	if (!mh_peer_known(p))
+	if (!mh_peer_is_member(p))
 		mh_event(
 		    m->k, "entry-told-of", "node=%s addr=%s", k->node, k->addr);
-	p->told_until_us = mh_now(m->k) + ANNOUNCED_US;
+	p->announced_until_us = mh_now(m->k) + ANNOUNCED_US;
 	if (p->listed)
 		return; /* address and weight of the list take precedence */
 	p->weight = k->weight / WEIGHT_UNIT;
--- a/lib/meshint.h
+++ b/lib/meshint.h
@@ -12,31 +12,31 @@
 	char *addr;
 	double weight;
 	bool listed;
-	int64_t told_until_us; /* end of membership by announcement */
-	int64_t hinted_us; /* last announcement to it */
+	int64_t announced_until_us; /* end of membership by announcement */
+	int64_t last_announce_us; /* last announcement to it */
 	bool ready;
-	bool leaving;
-	bool reads; /* the platform answers its reads */
+	bool draining;
+	bool can_read; /* the platform answers its reads */
 	uint64_t conf_revision; /* configuration revision that it announced */
-	bool failed; /* dials have failed for UNREACHABLE_US */
-	bool wanted; /* we keep a link to it */
+	bool unreachable; /* dials have failed for UNREACHABLE_US */
+	bool want_link; /* we keep a link to it */
 	double rank; /* in the order that is being computed */
 	int64_t started_us; /* on our clock */
-	int64_t oldest_us; /* its earliest start of a serving entry */
-	uint64_t dial; /* connection being opened, 0: none */
-	uint64_t out; /* connection that we opened, 0: none */
-	uint64_t in;
-	int64_t heard_us;
-	int64_t dialled_us; /* when dial_conn was opened */
-	uint32_t dials; /* dials that timed out since the last link */
-	int64_t tried_us; /* since the last link; 0: none */
-	int64_t dial_us; /* no dial before this time */
-	int64_t asked_us; /* last request or answer bytes; 0: answered */
-	int64_t asked_first_us; /* when that request was sent */
-	uint32_t asked; /* flags REQUESTED_*; 0: answered */
+	int64_t oldest_start_us; /* its earliest start of a serving entry */
+	uint64_t dial_conn; /* connection being opened, 0: none */
+	uint64_t out_conn; /* connection that we opened, 0: none */
+	uint64_t in_conn;
+	int64_t last_recv_us;
+	int64_t dial_start_us; /* when dial_conn was opened */
+	uint32_t dial_timeouts; /* dials that timed out since the last link */
+	int64_t first_dial_us; /* since the last link; 0: none */
+	int64_t next_dial_us; /* no dial before this time */
+	int64_t last_request_us; /* last request or answer bytes; 0: answered */
+	int64_t request_sent_us; /* when that request was sent */
+	uint32_t requested; /* flags REQUESTED_*; 0: answered */
 };
 
-enum { ASKED_CONF = 1, ASKED_ROWS = 2, ASKED_ENTRIES = 4 };
+enum { REQUESTED_CONF = 1, REQUESTED_ROWS = 2, REQUESTED_ENTRIES = 4 };
 
 struct handler {
 	mh_mesh_fn fn;
@@ -52,49 +52,49 @@
 	struct mh_kern *k;
 	char *node;
 	double weight;
-	bool leaving;
+	bool draining;
 	uint32_t slices; /* number of slices of the stage pools */
 	bool have_list; /* the complete list of entries is known */
 	int64_t started_us;
-	int64_t ticked_us; /* when our timer last fired */
-	int64_t woke_us; /* when the end of a pause was detected; 0: never */
+	int64_t last_timer_us; /* when our timer last fired */
+	int64_t resumed_us; /* when the end of a pause was detected; 0: never */
 	GHashTable *peers; /* node -> struct peer */
 	GHashTable *conns; /* conn -> struct peer */
 	struct mh_mesh_view view;
-	struct handler on[MAX_CASES];
-	void (*lost)(void *arg, const char *node);
-	void *lost_arg;
-	void (*up)(void *arg, const char *node);
-	void *up_arg;
+	struct handler handlers[MAX_CASES];
+	void (*on_lost)(void *arg, const char *node);
+	void *on_lost_arg;
+	void (*on_up)(void *arg, const char *node);
+	void *on_up_arg;
 	struct mh_timer *timer;
-	int64_t conf_asked_us; /* last request to a peer; 0: answered */
-	int64_t rows_asked_us;
-	int64_t entries_asked_us;
-	uint64_t conf_heard; /* latest that a peer announced */
-	int64_t conf_heard_us; /* when that was first announced */
-	int64_t conf_behind_us; /* 0: ours is current */
-	size_t told_bytes; /* of views without rows, since a heartbeat */
-	size_t rows_bytes; /* of rows, since a heartbeat */
+	int64_t conf_request_us; /* last request to a peer; 0: answered */
+	int64_t rows_request_us;
+	int64_t entries_request_us;
+	uint64_t latest_conf; /* latest that a peer announced */
+	int64_t latest_conf_us; /* when that was first announced */
+	int64_t conf_stale_from_us; /* 0: ours is current */
+	size_t sent_view_bytes; /* of views without rows, since a heartbeat */
+	size_t sent_rows_bytes; /* of rows, since a heartbeat */
 };
 
 /** mh_peer_link() - connection id of an open link, 0: none. */
 uint64_t mh_peer_link(const struct peer *p);
-/** mh_peer_alive() - whether it is linked and not silent. */
-bool mh_peer_alive(const struct peer *p);
+/** mh_peer_is_alive() - whether it is linked and not silent. */
+bool mh_peer_is_alive(const struct peer *p);
 /**
  * mh_peer_is_member() - whether it is listed, or was announced by another
  * entry.
  */
-bool mh_peer_known(const struct peer *p);
+bool mh_peer_is_member(const struct peer *p);
 /**
  * mh_mesh_check_pause() - detects that this process did not run for a while.
  */
-void mh_mesh_look(struct mh_mesh *m);
+void mh_mesh_check_pause(struct mh_mesh *m);
 /**
  * mh_mesh_start_us() - when this process started or resumed, whichever is
  * later.
  */
-int64_t mh_mesh_begun_us(const struct mh_mesh *m);
+int64_t mh_mesh_start_us(const struct mh_mesh *m);
 /** mh_weight_units() - a weight as it is sent, in units of 1 / WEIGHT_UNIT. */
 uint32_t mh_weight_units(double weight);
 /** mh_peer_of() - the peer of that name, created if there is none. */
@@ -104,16 +104,16 @@
 /**
  * mh_mesh_heartbeat() - sends a heartbeat over @conn, or over all links if 0.
  */
-void mh_mesh_beat(struct mh_mesh *m, uint64_t conn);
+void mh_mesh_heartbeat(struct mh_mesh *m, uint64_t conn);
 /** mh_mesh_take_known() - adds an entry that another entry announced. */
 void mh_mesh_take_known(struct mh_mesh *m, const Mh__Known *k);
 /**
  * mh_mesh_oldest_start_us() - earliest start time of this entry and the linked
  * entries that can serve; INT64_MAX if none can.
  */
-int64_t mh_mesh_oldest(struct mh_mesh *m);
+int64_t mh_mesh_oldest_start_us(struct mh_mesh *m);
 /** mh_mesh_select_links() - marks the peers that this entry keeps links to. */
-void mh_mesh_want_links(struct mh_mesh *m);
+void mh_mesh_select_links(struct mh_mesh *m);
 
 /* meshview.c */
 
@@ -130,8 +130,8 @@
 /**
  * mh_mesh_view_arriving() - records bytes of an incomplete frame from a peer.
  */
-void mh_mesh_answer_comes(struct mh_mesh *m, struct peer *p);
+void mh_mesh_view_arriving(struct mh_mesh *m, struct peer *p);
 /** mh_mesh_reset_sent_bytes() - begins a new heartbeat interval. */
-void mh_mesh_told_anew(struct mh_mesh *m);
+void mh_mesh_reset_sent_bytes(struct mh_mesh *m);
 
 #endif
--- a/lib/meshorder.c
+++ b/lib/meshorder.c
@@ -109,7 +109,7 @@
 static bool
 serves(const struct peer *p)
 {
-	return mh_peer_alive(p) && p->ready && !p->leaving;
+	return mh_peer_is_alive(p) && p->ready && !p->draining;
 }
 
 /*
@@ -118,9 +118,9 @@
  * it exited.
  */
 int64_t
-mh_mesh_oldest(struct mh_mesh *m)
+mh_mesh_oldest_start_us(struct mh_mesh *m)
 {
-	int64_t oldest = m->leaving ? INT64_MAX : m->started_us;
+	int64_t oldest = m->draining ? INT64_MAX : m->started_us;
 	GHashTableIter it;
 	gpointer key, value;
 
@@ -144,7 +144,7 @@
 static int64_t
 oldest_start(struct mh_mesh *m)
 {
-	int64_t oldest = MIN(mh_mesh_oldest(m), mh_now(m->k));
+	int64_t oldest = MIN(mh_mesh_oldest_start_us(m), mh_now(m->k));
 	GHashTableIter it;
 	gpointer key, value;
 
@@ -152,8 +152,8 @@
 	while (g_hash_table_iter_next(&it, &key, &value)) {
 		const struct peer *p = value;
 
-		if (mh_peer_alive(p))
-			oldest = MIN(oldest, p->oldest_us);
+		if (mh_peer_is_alive(p))
+			oldest = MIN(oldest, p->oldest_start_us);
 	}
 	return oldest;
 }
@@ -179,7 +179,7 @@
 	GHashTableIter it;
 	gpointer key, value;
 
-	if (!m->leaving && m->started_us <= latest) {
+	if (!m->draining && m->started_us <= latest) {
 		best = m->node;
 		best_rank = rank(what, m->node, m->weight);
 	}
@@ -203,7 +203,7 @@
  * entry does its own work.
  */
 const char *
-mh_mesh_home(struct mh_mesh *m, const char *what)
+mh_mesh_coordinator(struct mh_mesh *m, const char *what)
 {
 	const char *best = first_of(m, what, latest_start(m));
 
@@ -213,10 +213,10 @@
 }
 
 int64_t
-mh_mesh_unsettled_us(struct mh_mesh *m)
+mh_mesh_settle_us(struct mh_mesh *m)
 {
-	mh_mesh_look(m);
-	return MAX(mh_mesh_begun_us(m) + SETTLE_US - mh_now(m->k), 0);
+	mh_mesh_check_pause(m);
+	return MAX(mh_mesh_start_us(m) + SETTLE_US - mh_now(m->k), 0);
 }
 
 bool
@@ -236,7 +236,7 @@
 	while (g_hash_table_iter_next(&it, &key, &value)) {
 		const struct peer *p = value;
 
-		n += mh_peer_known(p) || mh_peer_alive(p);
+		n += mh_peer_is_member(p) || mh_peer_is_alive(p);
 	}
 	return n;
 }
@@ -254,7 +254,7 @@
 	while (g_hash_table_iter_next(&it, NULL, &value)) {
 		const struct peer *p = value;
 
-		if (!mh_peer_known(p))
+		if (!mh_peer_is_member(p))
 			continue;
 		*entries += 1;
 		before += mh_rendezvous(what, p->node) > mine;
@@ -269,32 +269,33 @@
  * POLLERS.
  */
 bool
-mh_mesh_reads(struct mh_mesh *m)
+mh_mesh_is_reader(struct mh_mesh *m)
 {
 	double mine = rank(MH_STAGE_WORK, m->node, m->weight);
-	bool answered = m->view.reads != NULL && m->view.reads(m->view.arg);
+	bool answered =
+	    m->view.can_read != NULL && m->view.can_read(m->view.arg);
 	GHashTableIter it;
 	gpointer key, value;
 	uint32_t readers = 0, pollers = 0;
 
 	/* Entries that start together have no heartbeats of each other yet. */
-	if (mh_mesh_unsettled_us(m) > 0)
+	if (mh_mesh_settle_us(m) > 0)
 		return false;
 	g_hash_table_iter_init(&it, m->peers);
 	while (g_hash_table_iter_next(&it, &key, &value)) {
 		const struct peer *p = value;
 
-		if (!mh_peer_alive(p) || p->leaving ||
+		if (!mh_peer_is_alive(p) || p->draining ||
 		    rank(MH_STAGE_WORK, p->node, p->weight) <= mine)
 			continue;
-		readers += p->reads;
+		readers += p->can_read;
 		pollers++;
 	}
 	return readers < READERS && (answered || pollers < POLLERS);
 }
 
 bool
-mh_mesh_first(const struct mh_mesh *m)
+mh_mesh_may_read(const struct mh_mesh *m)
 {
 	double mine = rank(MH_STAGE_WORK, m->node, m->weight);
 	GHashTableIter it;
@@ -305,7 +306,7 @@
 	while (g_hash_table_iter_next(&it, NULL, &value)) {
 		const struct peer *p = value;
 
-		if (!mh_peer_known(p))
+		if (!mh_peer_is_member(p))
 			continue;
 		known++;
 		before += rank(MH_STAGE_WORK, p->node, p->weight) > mine;
@@ -317,9 +318,9 @@
 static bool
 may_coordinate(const struct peer *p, int64_t latest)
 {
-	if (!mh_peer_alive(p))
-		return mh_peer_known(p) && !p->failed;
-	return !p->leaving && p->started_us <= latest &&
+	if (!mh_peer_is_alive(p))
+		return mh_peer_is_member(p) && !p->unreachable;
+	return !p->draining && p->started_us <= latest &&
 	    (p->ready || mh_now(p->m->k) - p->started_us < STARTING_US);
 }
 
@@ -359,7 +360,7 @@
 		uint32_t at = few;
 
 		p->rank = rank(work, p->node, p->weight);
-		if (mh_peer_known(p))
+		if (mh_peer_is_member(p))
 			insert_best(dialled, p->rank);
 		if (!may_coordinate(p, latest))
 			continue;
@@ -381,13 +382,13 @@
 	while (g_hash_table_iter_next(&it, &key, &value)) {
 		struct peer *p = value;
 
-		if (mh_peer_known(p) && p->rank >= min_rank)
-			p->wanted = true;
+		if (mh_peer_is_member(p) && p->rank >= min_rank)
+			p->want_link = true;
 	}
 }
 
 void
-mh_mesh_want_links(struct mh_mesh *m)
+mh_mesh_select_links(struct mh_mesh *m)
 {
 	uint32_t used[MH_USED_SLICES];
 	uint32_t n = mh_mesh_slices(m, m->slices, used);
@@ -397,7 +398,7 @@
 
 	g_hash_table_iter_init(&it, m->peers);
 	while (g_hash_table_iter_next(&it, &key, &value))
-		((struct peer *)value)->wanted = false;
+		((struct peer *)value)->want_link = false;
 	select_first(m, MH_STAGE_WORK, LINKED_FIRST);
 	for (uint32_t i = 0; n > 1 && i < n; i++)
 		select_first(m, mh_slice_work(work, used[i], m->slices),
--- a/lib/meshtold.c
+++ b/lib/meshview.c
@@ -39,34 +39,34 @@
 static void
 note_conf_revision(struct mh_mesh *m, uint64_t revision)
 {
-	if (revision <= m->conf_heard)
+	if (revision <= m->latest_conf)
 		return;
-	m->conf_heard = revision;
-	m->conf_heard_us = mh_now(m->k);
-	if (mh_mesh_conf_behind(m) && m->conf_behind_us == 0)
-		m->conf_behind_us = m->conf_heard_us;
+	m->latest_conf = revision;
+	m->latest_conf_us = mh_now(m->k);
+	if (mh_mesh_conf_stale(m) && m->conf_stale_from_us == 0)
+		m->conf_stale_from_us = m->latest_conf_us;
 }
 
 bool
-mh_mesh_conf_behind(const struct mh_mesh *m)
+mh_mesh_conf_stale(const struct mh_mesh *m)
 {
 	return m->view.conf_revision != NULL &&
-	    m->conf_heard > m->view.conf_revision(m->view.arg);
+	    m->latest_conf > m->view.conf_revision(m->view.arg);
 }
 
 bool
-mh_mesh_conf_offered(const struct mh_mesh *m)
+mh_mesh_conf_available(const struct mh_mesh *m)
 {
 	GHashTableIter it;
 	gpointer value;
 
-	if (!mh_mesh_conf_behind(m))
+	if (!mh_mesh_conf_stale(m))
 		return false;
 	g_hash_table_iter_init(&it, m->peers);
 	while (g_hash_table_iter_next(&it, NULL, &value)) {
 		const struct peer *p = value;
 
-		if (mh_peer_alive(p) &&
+		if (mh_peer_is_alive(p) &&
 		    p->conf_revision > m->view.conf_revision(m->view.arg))
 			return true;
 	}
@@ -74,20 +74,20 @@
 }
 
 int64_t
-mh_mesh_conf_behind_us(const struct mh_mesh *m)
+mh_mesh_conf_stale_us(const struct mh_mesh *m)
 {
-	if (!mh_mesh_conf_behind(m))
+	if (!mh_mesh_conf_stale(m))
 		return 0;
 	/* At least 1, since 0 would mean that it is current. */
-	return MAX(mh_now(m->k) - MAX(m->conf_behind_us, m->woke_us), 1);
+	return MAX(mh_now(m->k) - MAX(m->conf_stale_from_us, m->resumed_us), 1);
 }
 
 void
 mh_mesh_conf_changed(struct mh_mesh *m)
 {
-	m->conf_behind_us = mh_mesh_conf_behind(m) ? m->conf_heard_us : 0;
-	if (!m->leaving)
-		mh_mesh_beat(m, 0);
+	m->conf_stale_from_us = mh_mesh_conf_stale(m) ? m->latest_conf_us : 0;
+	if (!m->draining)
+		mh_mesh_heartbeat(m, 0);
 }
 
 /* A list with a later revision and the same hash isn't requested. */
@@ -97,7 +97,7 @@
 	return m->view.entries_revision != NULL &&
 	    b->entries_revision > m->view.entries_revision(m->view.arg) &&
 	    b->entries_hash != m->view.entries_hash(m->view.arg) &&
-	    mh_now(m->k) >= m->entries_asked_us + ANSWER_WAIT_US;
+	    mh_now(m->k) >= m->entries_request_us + ANSWER_WAIT_US;
 }
 
 /*
@@ -115,35 +115,36 @@
 		return;
 	note_conf_revision(m, b->conf_revision);
 	if (b->rows_revision == m->view.rows_revision(m->view.arg))
-		m->view.rows_same(m->view.arg, (int64_t)b->rows_age_us);
-	if (now - p->asked_us < RETRY_US && p->asked_us != 0)
+		m->view.rows_unchanged(m->view.arg, (int64_t)b->rows_age_us);
+	if (now - p->last_request_us < RETRY_US && p->last_request_us != 0)
 		return;
 	req.conf = b->conf_revision > m->view.conf_revision(m->view.arg) &&
-	    now >= m->conf_asked_us + ANSWER_WAIT_US;
+	    now >= m->conf_request_us + ANSWER_WAIT_US;
 	req.rows = b->rows_revision > m->view.rows_revision(m->view.arg) &&
 	    m->view.rows_due(m->view.arg) &&
-	    now >= m->rows_asked_us + ANSWER_WAIT_US;
+	    now >= m->rows_request_us + ANSWER_WAIT_US;
 	req.evacuated = b->evacuated_revision > mh_mesh_evacuated_revision(m);
 	req.entries = wants_entries(m, b);
 	if (!req.conf && !req.rows && !req.evacuated && !req.entries)
 		return;
-	p->asked_us = p->asked_first_us = now;
-	p->asked = (req.conf ? ASKED_CONF : 0) | (req.rows ? ASKED_ROWS : 0) |
-	    (req.entries ? ASKED_ENTRIES : 0);
+	p->last_request_us = p->request_sent_us = now;
+	p->requested = (req.conf ? REQUESTED_CONF : 0) |
+	    (req.rows ? REQUESTED_ROWS : 0) |
+	    (req.entries ? REQUESTED_ENTRIES : 0);
 	if (req.entries)
-		m->entries_asked_us = now;
+		m->entries_request_us = now;
 	if (req.conf) {
-		m->conf_asked_us = now;
+		m->conf_request_us = now;
 		req.conf_since = m->view.conf_revision(m->view.arg);
 		mh_event(m->k, "conf-asked",
 		    "node=%s revision=%" PRIu64 " have=%" PRIu64
 		    " behind_ms=%" PRId64,
 		    p->node, b->conf_revision, req.conf_since,
-		    mh_ms(mh_mesh_conf_behind_us(m)));
+		    mh_ms(mh_mesh_conf_stale_us(m)));
 	}
 	if (req.rows) {
-		m->rows_asked_us = now;
-		req.rows_since = m->view.rows_have(m->view.arg);
+		m->rows_request_us = now;
+		req.rows_since = m->view.rows_base(m->view.arg);
 	}
 	req.packed = true;
 	f.body_case = MH__FRAME__BODY_VIEW_ASK;
@@ -158,11 +159,11 @@
 limit_request(struct mh_mesh *m, const Mh__ViewAsk *req)
 {
 	Mh__ViewAsk some = *req;
-	bool full = m->told_bytes >= HEARTBEAT_BYTES;
+	bool full = m->sent_view_bytes >= HEARTBEAT_BYTES;
 
 	some.conf = req->conf && !full;
 	some.entries = req->entries && !full;
-	some.rows = req->rows && m->rows_bytes < HEARTBEAT_BYTES;
+	some.rows = req->rows && m->sent_rows_bytes < HEARTBEAT_BYTES;
 	if (some.conf != req->conf || some.rows != req->rows ||
 	    some.entries != req->entries)
 		mh_count(m->k, "views_put_off", 1);
@@ -178,7 +179,7 @@
 }
 
 static void
-clear_reply(struct mh_shared *s)
+clear_reply(struct mh_view_reply *s)
 {
 	mh_bytes_clear(&s->conf);
 	mh_bytes_clear(&s->rows);
@@ -191,7 +192,7 @@
 	Mh__Frame f = MH__FRAME__INIT;
 	Mh__View v = MH__VIEW__INIT;
 	Mh__ViewAsk some;
-	struct mh_shared s = { 0 };
+	struct mh_view_reply s = { 0 };
 
 	if (m->view.fill == NULL)
 		return;
@@ -208,8 +209,8 @@
 	v.conf_base = s.conf_base;
 	if (s.entries != NULL)
 		v.entries_revision = m->view.entries_revision(m->view.arg);
-	m->told_bytes += v.conf.len + v.entries.len;
-	m->rows_bytes += v.rows.len;
+	m->sent_view_bytes += v.conf.len + v.entries.len;
+	m->sent_rows_bytes += v.rows.len;
 	if (s.evacuated != NULL) {
 		v.evacuated_revision = mh_mesh_evacuated_revision(m);
 		v.evacuated = (char **)(uintptr_t)s.evacuated;
@@ -224,44 +225,44 @@
 void
 mh_mesh_take_view(struct mh_mesh *m, struct peer *p, const Mh__View *v)
 {
-	p->asked_us = 0;
-	p->asked = 0;
+	p->last_request_us = 0;
+	p->requested = 0;
 	if (v->conf.len > 0) {
-		m->conf_asked_us = 0;
+		m->conf_request_us = 0;
 		mh_event(m->k, "conf-told",
 		    "node=%s revision=%" PRIu64 " base=%" PRIu64
 		    " bytes=%zu behind_ms=%" PRId64,
 		    p->node, v->conf_revision, v->conf_base, v->conf.len,
-		    mh_ms(mh_mesh_conf_behind_us(m)));
+		    mh_ms(mh_mesh_conf_stale_us(m)));
 	}
 	if (v->rows.len > 0)
-		m->rows_asked_us = 0;
+		m->rows_request_us = 0;
 	if (v->entries.len > 0)
-		m->entries_asked_us = 0;
+		m->entries_request_us = 0;
 	if (m->view.take != NULL)
 		m->view.take(m->view.arg, v);
 }
 
 /* While an answer is arriving, a second one would only slow it down. */
 void
-mh_mesh_answer_comes(struct mh_mesh *m, struct peer *p)
+mh_mesh_view_arriving(struct mh_mesh *m, struct peer *p)
 {
 	int64_t now = mh_now(m->k);
 
-	if (p->asked == 0 || now - p->asked_first_us >= ARRIVING_US)
+	if (p->requested == 0 || now - p->request_sent_us >= ARRIVING_US)
 		return;
-	p->asked_us = now;
-	if (p->asked & ASKED_CONF)
-		m->conf_asked_us = now;
-	if (p->asked & ASKED_ROWS)
-		m->rows_asked_us = now;
-	if (p->asked & ASKED_ENTRIES)
-		m->entries_asked_us = now;
+	p->last_request_us = now;
+	if (p->requested & REQUESTED_CONF)
+		m->conf_request_us = now;
+	if (p->requested & REQUESTED_ROWS)
+		m->rows_request_us = now;
+	if (p->requested & REQUESTED_ENTRIES)
+		m->entries_request_us = now;
 }
 
 void
-mh_mesh_told_anew(struct mh_mesh *m)
+mh_mesh_reset_sent_bytes(struct mh_mesh *m)
 {
-	m->told_bytes = 0;
-	m->rows_bytes = 0;
+	m->sent_view_bytes = 0;
+	m->sent_rows_bytes = 0;
 }
--- a/lib/poisonmesh.c
+++ b/lib/poisonmesh.c
@@ -56,7 +56,7 @@
 	struct mh_poison_mesh *p = arg;
 
 	(void)node;
-	mh_poison_receive(p->k, f->poison, mh_mesh_passes_on(p->a.mesh));
+	mh_poison_receive(p->k, f->poison, mh_mesh_is_relay(p->a.mesh));
 }
 
 /** struct target - the entry that a frame goes to. */
--- a/lib/suspect.c
+++ b/lib/suspect.c
@@ -85,7 +85,7 @@
 void
 mh_suspects_report(struct mh_suspects *s, const char *endpoint)
 {
-	const char *coordinator = mh_mesh_home(s->m, MH_STAGE_WORK);
+	const char *coordinator = mh_mesh_coordinator(s->m, MH_STAGE_WORK);
 
 	if (mh_mesh_is_self(s->m, coordinator))
 		count_report(s, endpoint);
--- a/regress/entries.c
+++ b/regress/entries.c
@@ -87,7 +87,7 @@
 	    g_memdup2(&id, sizeof(id)));
 	g_hash_table_replace(l->dial_ids, g_memdup2(&id, sizeof(id)),
 	    g_memdup2(&dialled, sizeof(dialled)));
-	e->dialled++;
+	e->links_opened++;
 	post_link(e, MH_MSG_LINK_UP, dialled, to, false, NULL);
 	post_link(to, MH_MSG_LINK_UP, mirror(id), e, true, NULL);
 }
@@ -97,26 +97,26 @@
 {
 	struct ment *e = l->e;
 	struct ment *to = &e->r->e[m->addr[7] - '0'];
-	struct opening o = { l, to, m->conn, e->r->now_us + to->opens_us };
+	struct opening o = { l, to, m->conn, e->r->now_us + to->connect_us };
 
-	if (to->off || to->frozen)
+	if (to->powered_off || to->frozen)
 		return;
 	if (to->down || e->cut || to->cut ||
 	    mh_kern_get(to->k, "link") == NULL) {
 		post_link(e, MH_MSG_LINK_DOWN, m->conn, to, false, NULL);
 		return;
 	}
-	if (to->opens_us == 0)
+	if (to->connect_us == 0)
 		open_link(l, to, m->conn);
 	else
-		g_ptr_array_add(e->r->opening, g_memdup2(&o, sizeof(o)));
+		g_ptr_array_add(e->r->dials, g_memdup2(&o, sizeof(o)));
 }
 
 /* Cancels a dial; returns false if none is pending. */
 static bool
 cancel_dial(struct link *l, uint64_t dialled)
 {
-	GPtrArray *all = l->e->r->opening;
+	GPtrArray *all = l->e->r->dials;
 
 	for (guint i = 0; i < all->len; i++) {
 		const struct opening *o = g_ptr_array_index(all, i);
@@ -142,15 +142,15 @@
 static void
 open_due_links(struct mrig *r)
 {
-	for (guint i = 0; i < r->opening->len;) {
-		struct opening *o = g_ptr_array_index(r->opening, i);
+	for (guint i = 0; i < r->dials->len;) {
+		struct opening *o = g_ptr_array_index(r->dials, i);
 
 		if (o->at_us > r->now_us || o->to->frozen) {
 			i++;
 			continue;
 		}
 		open_link(o->l, o->to, o->dialled);
-		g_ptr_array_remove_index(r->opening, i);
+		g_ptr_array_remove_index(r->dials, i);
 	}
 }
 
@@ -166,7 +166,7 @@
 		const Mh__JobStage *st = f->job->stages[s];
 
 		for (size_t i = 0; i < st->n_results; i++)
-			r->holes += *st->results[i] == '\0';
+			r->empty_results += *st->results[i] == '\0';
 	}
 }
 
@@ -209,17 +209,17 @@
 	size_t len = g_bytes_get_size((GBytes *)(uintptr_t)frame);
 
 	from->sent_bytes += len;
-	if (from->bytes_per_s == 0)
+	if (from->link_bytes_per_s == 0)
 		return from->r->now_us;
-	from->busy_until_us = MAX(from->busy_until_us, from->r->now_us) +
-	    (int64_t)(len * MH_US_PER_S / from->bytes_per_s);
-	return from->busy_until_us;
+	from->link_busy_end_us = MAX(from->link_busy_end_us, from->r->now_us) +
+	    (int64_t)(len * MH_US_PER_S / from->link_bytes_per_s);
+	return from->link_busy_end_us;
 }
 
 static void
 deliver(struct ment *from, struct ment *to, uint64_t conn, GBytes *frame)
 {
-	int64_t first_us = MAX(from->busy_until_us, from->r->now_us);
+	int64_t first_us = MAX(from->link_busy_end_us, from->r->now_us);
 	struct flight w = { from, to, conn, frame, first_us + to->delay_us,
 		send_end_us(from, frame) + to->delay_us };
 
@@ -228,14 +228,14 @@
 		return;
 	}
 	g_bytes_ref(frame);
-	g_ptr_array_add(to->r->on_way, g_memdup2(&w, sizeof(w)));
+	g_ptr_array_add(to->r->in_flight, g_memdup2(&w, sizeof(w)));
 }
 
 static void
 deliver_due_frames(struct mrig *r)
 {
-	for (guint i = 0; i < r->on_way->len;) {
-		struct flight *w = g_ptr_array_index(r->on_way, i);
+	for (guint i = 0; i < r->in_flight->len;) {
+		struct flight *w = g_ptr_array_index(r->in_flight, i);
 
 		if (w->at_us > r->now_us) {
 			if (w->first_us < r->now_us)
@@ -246,7 +246,7 @@
 		}
 		post_link(
 		    w->to, MH_MSG_FRAME, w->conn, w->from, false, w->frame);
-		g_ptr_array_remove_index(r->on_way, i);
+		g_ptr_array_remove_index(r->in_flight, i);
 	}
 }
 
@@ -254,7 +254,7 @@
 static void
 drop_in_flight(struct ment *to, uint64_t conn)
 {
-	GPtrArray *all = to->r->on_way;
+	GPtrArray *all = to->r->in_flight;
 
 	for (guint i = 0; i < all->len;) {
 		const struct flight *w = g_ptr_array_index(all, i);
@@ -281,7 +281,7 @@
 		break;
 	case MH_MSG_LINK_SEND:
 		to = other_end(e, id);
-		if (e->cut || to->cut || to->down || to->off ||
+		if (e->cut || to->cut || to->down || to->powered_off ||
 		    is_lost(e, m->frame))
 			break;
 		tl = mh_kern_get(to->k, "link");
@@ -297,7 +297,8 @@
 		drop_in_flight(e, m->conn);
 		if (tl != NULL)
 			drop_in_flight(to, to_dial_id(tl, mirror(id)));
-		if (tl != NULL && !e->cut && !to->cut && !to->down && !to->off)
+		if (tl != NULL && !e->cut && !to->cut && !to->down &&
+		    !to->powered_off)
 			post_link(to, MH_MSG_LINK_DOWN,
 			    to_dial_id(tl, mirror(id)), e, false, NULL);
 		break;
@@ -344,13 +345,13 @@
 static bool
 v_reads(void *arg)
 {
-	return ((struct ment *)arg)->reads;
+	return ((struct ment *)arg)->can_read;
 }
 
 static int64_t
 v_age(void *arg)
 {
-	return ((struct ment *)arg)->reads ? 0 : S;
+	return ((struct ment *)arg)->can_read ? 0 : S;
 }
 
 static void
@@ -358,7 +359,7 @@
 {
 	struct ment *e = arg;
 
-	e->fresh += age_us == 0;
+	e->rows_confirmed += age_us == 0;
 }
 
 static uint64_t
@@ -411,7 +412,8 @@
 }
 
 static void
-fill_conf(const struct ment *e, const Mh__ViewAsk *req, struct mh_shared *out)
+fill_conf(
+    const struct ment *e, const Mh__ViewAsk *req, struct mh_view_reply *out)
 {
 	GBytes *text, *base = NULL;
 
@@ -437,11 +439,11 @@
 	if (v->conf_base != 0)
 		base = conf_text(v->conf_base, e->conf_len);
 	text = v->packed
-	    ? mh_unpack(v->conf.data, v->conf.len, MH_UNPACKED_MOST, base)
+	    ? mh_unpack(v->conf.data, v->conf.len, MH_UNPACKED_MAX, base)
 	    : g_bytes_new(v->conf.data, v->conf.len);
 	if (g_bytes_get_size(text) == (e->conf_len == 0 ? 4 : e->conf_len)) {
 		e->conf = MAX(e->conf, v->conf_revision);
-		e->taken_conf++;
+		e->received_confs++;
 		mh_mesh_conf_changed(e->m);
 	}
 	mh_bytes_clear(&base);
@@ -449,7 +451,7 @@
 }
 
 static void
-v_fill(void *arg, const Mh__ViewAsk *req, struct mh_shared *out)
+v_fill(void *arg, const Mh__ViewAsk *req, struct mh_view_reply *out)
 {
 	struct ment *e = arg;
 	static const char *domains[2];
@@ -483,9 +485,9 @@
 		memcpy(
 		    &e->entries_hash, v->entries.data, sizeof(e->entries_hash));
 		e->entries = v->entries_revision;
-		e->taken_entries++;
+		e->received_lists++;
 	}
-	e->taken_rows += (uint32_t)v->rows.len;
+	e->received_row_bytes += (uint32_t)v->rows.len;
 	if (v->rows.len > 0)
 		e->rows = v->rows_revision;
 	if (v->conf.len > 0)
@@ -512,14 +514,14 @@
 		v_same, v_fill, v_take, v_ready, v_reads, v_evacuated_revision,
 		v_entries, v_entries_hash, e };
 
-	e->dialled = 0;
+	e->links_opened = 0;
 	e->k = mh_kern_create(e->index + 1);
 	mh_kern_advance(e->k, e->r->now_us, e->r->now_us);
 	if (!e->no_links)
 		mrig_link(e);
 	e->m = mh_mesh_create(e->k, e->node, e->weight);
-	mh_mesh_share(e->m, &v);
-	mh_mesh_list(e->m, e->list != NULL ? e->list : e->r->members);
+	mh_mesh_set_view(e->m, &v);
+	mh_mesh_set_members(e->m, e->list != NULL ? e->list : e->r->members);
 }
 
 void
@@ -531,7 +533,7 @@
 		deliver_due_frames(r);
 		for (int pass = 0; pass < 4; pass++) {
 			for (uint32_t i = 0; i < ENTRIES; i++) {
-				if (!r->e[i].down && !r->e[i].off &&
+				if (!r->e[i].down && !r->e[i].powered_off &&
 				    !r->e[i].frozen)
 					mh_kern_advance(
 					    r->e[i].k, r->now_us, r->now_us);
@@ -547,8 +549,8 @@
 
 	r->now_us = S;
 	r->members = g_ptr_array_new();
-	r->opening = g_ptr_array_new_with_free_func(g_free);
-	r->on_way = g_ptr_array_new_with_free_func(free_flight);
+	r->dials = g_ptr_array_new_with_free_func(g_free);
+	r->in_flight = g_ptr_array_new_with_free_func(free_flight);
 	for (uint32_t i = 0; i < ENTRIES; i++) {
 		struct mh_member *m = g_new0(struct mh_member, 1);
 
@@ -562,7 +564,7 @@
 		r->e[i].r = r;
 		r->e[i].weight = 1;
 		r->e[i].index = i;
-		r->e[i].ready = r->e[i].reads = true;
+		r->e[i].ready = r->e[i].can_read = true;
 		mrig_start(&r->e[i]);
 	}
 	return r;
@@ -581,15 +583,15 @@
 		g_free(m);
 	}
 	g_ptr_array_free(r->members, TRUE);
-	g_ptr_array_free(r->opening, TRUE);
-	g_ptr_array_free(r->on_way, TRUE);
+	g_ptr_array_free(r->dials, TRUE);
+	g_ptr_array_free(r->in_flight, TRUE);
 	g_free(r);
 }
 
 const char *
-mrig_home(struct ment *e)
+mrig_coordinator(struct ment *e)
 {
-	return mh_mesh_home(e->m, "stage-work");
+	return mh_mesh_coordinator(e->m, "stage-work");
 }
 
 struct ment *
@@ -600,10 +602,10 @@
 	for (uint32_t i = 0; i < ENTRIES; i++) {
 		const char *h;
 
-		if (r->e[i].down || r->e[i].off || r->e[i].cut ||
+		if (r->e[i].down || r->e[i].powered_off || r->e[i].cut ||
 		    r->e[i].frozen)
 			continue;
-		h = mrig_home(&r->e[i]);
+		h = mrig_coordinator(&r->e[i]);
 		if (coordinator != NULL && strcmp(coordinator, h) != 0)
 			return NULL;
 		coordinator = h;
@@ -612,7 +614,7 @@
 }
 
 void
-mrig_ask_view(struct ment *e, struct ment *to, bool conf)
+mrig_request_view(struct ment *e, struct ment *to, bool conf)
 {
 	struct link *l = mh_kern_get(e->k, "link");
 	uint64_t id = e->index * 10 + to->index;
--- a/regress/entries.h
+++ b/regress/entries.h
@@ -22,29 +22,30 @@
 	bool cut; /* its frames are lost both ways */
 	bool down; /* refuses connections */
 	bool frozen; /* doesn't run; frames to it wait */
-	bool off; /* its VM is powered off; frames to it are lost */
-	int64_t opens_us; /* connect time of links to it */
+	bool powered_off; /* its VM is powered off; frames to it are lost */
+	int64_t connect_us; /* connect time of links to it */
 	int64_t delay_us; /* latency of frames to it */
 	bool no_links; /* started without its link service */
-	uint32_t dialled; /* its dials that opened since its start */
+	uint32_t links_opened; /* its dials that opened since its start */
 	bool ready;
-	bool reads;
+	bool can_read;
 	uint64_t conf;
 	uint64_t rows;
 	uint64_t evacuated_revision;
 	char evacuated[16]; /* one evacuated failure domain, "": none */
 	uint32_t conf_len; /* size of its text in bytes; 0: "conf" */
-	uint32_t taken_conf;
-	uint64_t bytes_per_s; /* outbound rate of its link; 0: no limit */
-	int64_t busy_until_us; /* end of the frames that it has sent */
+	uint32_t received_confs;
+	uint64_t link_bytes_per_s; /* outbound rate of its link; 0: no limit */
+	int64_t link_busy_end_us; /* end of the frames that it has sent */
 	uint64_t sent_bytes;
 	uint64_t entries; /* revision of its list */
 	uint64_t entries_hash;
-	uint32_t taken_entries;
-	uint32_t fresh; /* heartbeats that confirm its rows as current */
+	uint32_t received_lists;
+	uint32_t
+	    rows_confirmed; /* heartbeats that confirm its rows as current */
 	uint32_t lose_views; /* number of its next answers to lose */
 	uint32_t rows_len; /* size of its rows in bytes */
-	uint32_t taken_rows; /* bytes received */
+	uint32_t received_row_bytes; /* bytes received */
 };
 
 /** struct mrig - entries whose links share one queue. */
@@ -52,10 +53,11 @@
 	struct ment e[ENTRIES];
 	int64_t now_us;
 	GPtrArray *members;
-	GPtrArray *opening; /* struct opening */
-	GPtrArray *on_way; /* struct flight, in the order of sending */
+	GPtrArray *dials; /* struct opening */
+	GPtrArray *in_flight; /* struct flight, in the order of sending */
 	uint32_t poison_frames; /* number sent so far */
-	uint32_t holes; /* empty results sent among those of a complete stage */
+	uint32_t empty_results; /* empty results sent among those of a complete
+				   stage */
 };
 
 struct mrig *mrig_create(void);
@@ -70,7 +72,7 @@
 /** mrig_run() - advances the time by @us, in steps of 10 ms. */
 void mrig_run(struct mrig *r, int64_t us);
 /** mrig_coordinator() - coordinator of stage work that one entry names. */
-const char *mrig_home(struct ment *e);
+const char *mrig_coordinator(struct ment *e);
 /**
  * mrig_agreed() - coordinator that all live entries name; NULL: they differ.
  */
@@ -83,6 +85,6 @@
  * mrig_request_view() - sends @to a request for its configuration, or for its
  * rows.
  */
-void mrig_ask_view(struct ment *e, struct ment *to, bool conf);
+void mrig_request_view(struct ment *e, struct ment *to, bool conf);
 
 #endif
--- a/regress/entwork.c
+++ b/regress/entwork.c
@@ -17,9 +17,9 @@
 	e->calls_b += strcmp(b->pool, "b") == 0;
 	e->pieces += b->items->len;
 	if (e->stalled != NULL && strcmp(b->pool, e->stalled) == 0) {
-		if (e->passes == 0)
+		if (e->calls_to_end == 0)
 			return;
-		e->passes--;
+		e->calls_to_end--;
 	}
 	for (guint i = 0; i < b->items->len; i++)
 		g_array_index(b->items, struct mh_batch_item, i).result =
@@ -40,7 +40,7 @@
 {
 	struct ent *e = arg;
 
-	mh_broker_cell_step(e->b, j, stage);
+	mh_broker_stage_changed(e->b, j, stage);
 }
 
 static void
@@ -48,7 +48,7 @@
 {
 	struct ent *e = arg;
 
-	mh_broker_cell_end(e->b, j, end, retry_us);
+	mh_broker_job_ended(e->b, j, end, retry_us);
 }
 
 static void
@@ -69,7 +69,7 @@
 	(void)retry_us;
 	e->ended++;
 	e->done += end == MH_JOB_DONE;
-	e->held += end == MH_JOB_QUARANTINED;
+	e->quarantined += end == MH_JOB_QUARANTINED;
 }
 
 void
--- a/regress/entwork.h
+++ b/regress/entwork.h
@@ -14,14 +14,14 @@
 	struct mh_scheds *cs;
 	struct mh_broker *b;
 	const char *stalled; /* calls of this pool don't end; NULL: all do */
-	uint32_t passes; /* calls of it that still end */
+	uint32_t calls_to_end; /* calls of it that still end */
 	uint32_t calls;
 	uint32_t pieces; /* in the calls */
 	uint32_t calls_b; /* of the calls, those of pool "b" */
 	uint32_t freed; /* results freed */
 	uint32_t ended; /* jobs that were submitted here */
 	uint32_t done; /* of these, successful */
-	uint32_t held; /* of these, refused as quarantined */
+	uint32_t quarantined; /* of these, refused as quarantined */
 };
 
 /**
--- a/regress/t_cold.c
+++ b/regress/t_cold.c
@@ -198,7 +198,7 @@
 		if (j == i || !partly || (i + j) % 3 != 0)
 			g_ptr_array_add(list, &all[j]);
 	}
-	mh_mesh_list(m->e[i].m, list);
+	mh_mesh_set_members(m->e[i].m, list);
 	for (uint32_t j = 0; j < m->n; j++) {
 		g_free(all[j].node);
 		g_free(all[j].addr);
--- a/regress/t_home.c
+++ b/regress/t_coordinator.c
@@ -90,18 +90,18 @@
 	for (uint32_t i = 0; i < ENTRIES; i++)
 		ent_create(&all[i], &r->e[i]);
 	mrig_run(r, 2 * S);
-	CU_ASSERT_STRING_EQUAL(mrig_home(last), order[1]->node);
+	CU_ASSERT_STRING_EQUAL(mrig_coordinator(last), order[1]->node);
 	j = new_job(&all[last->index], pools, pieces);
 	mh_broker_submit(all[last->index].b, j);
 	mrig_run(r, 1 * S);
-	CU_ASSERT_STRING_EQUAL(mrig_home(last), order[0]->node);
+	CU_ASSERT_STRING_EQUAL(mrig_coordinator(last), order[0]->node);
 	CU_ASSERT_EQUAL(all[last->index].done, 1);
 	/*
 	 * After one announcement later work goes there, and the entry stays
 	 * known.
 	 */
 	mrig_run(r, 15 * S);
-	CU_ASSERT_STRING_EQUAL(mrig_home(last), order[0]->node);
+	CU_ASSERT_STRING_EQUAL(mrig_coordinator(last), order[0]->node);
 	mh_broker_drop(all[last->index].b, j);
 	mh_job_destroy(j);
 	mrig_run(r, 100 * MS);
@@ -141,7 +141,7 @@
 	restarted->list = list_without(r, small);
 	restart(restarted);
 	mrig_run(r, 2 * S);
-	CU_ASSERT_STRING_EQUAL(mrig_home(restarted), order[1]->node);
+	CU_ASSERT_STRING_EQUAL(mrig_coordinator(restarted), order[1]->node);
 	g_ptr_array_free(restarted->list, TRUE);
 	mrig_destroy(r);
 }
@@ -265,7 +265,7 @@
 		mrig_run(r, 50 * MS);
 	}
 	CU_ASSERT_EQUAL(all[coordinator->index].calls_b, 1);
-	mh_mesh_leave(coordinator->m);
+	mh_mesh_drain(coordinator->m);
 	mh_scheds_drain(all[coordinator->index].cs);
 	mrig_run(r, 100 * MS);
 	CU_ASSERT_EQUAL(e->done, 1);
@@ -311,13 +311,13 @@
 	e = &all[coordinator->index == 0];
 	drained = &all[coordinator->index];
 	drained->stalled = "a";
-	drained->passes = 1;
+	drained->calls_to_end = 1;
 	j = new_job(e, pools, pieces);
 	j->stages[1].after = 1;
 	mh_broker_submit(e->b, j);
 	mrig_run(r, 50 * MS);
 	CU_ASSERT_EQUAL(drained->calls, 2);
-	mh_mesh_leave(coordinator->m);
+	mh_mesh_drain(coordinator->m);
 	mh_scheds_drain(drained->cs);
 	mrig_run(r, 600 * MS);
 	CU_ASSERT_EQUAL(e->done, 1);
@@ -326,7 +326,7 @@
 			elsewhere += all[i].pieces;
 	}
 	CU_ASSERT_EQUAL(elsewhere, 4 + 1);
-	CU_ASSERT_EQUAL(r->holes, 0);
+	CU_ASSERT_EQUAL(r->empty_results, 0);
 	mh_broker_drop(e->b, j);
 	mh_job_destroy(j);
 	mrig_run(r, 100 * MS);
@@ -464,7 +464,7 @@
 	}
 	mrig_run(r, 4 * S);
 	for (uint32_t i = 0; i < ENTRIES; i++)
-		r->e[i].opens_us = 30 * MS;
+		r->e[i].connect_us = 30 * MS;
 	for (uint32_t i = 0; i < ENTRIES; i++) {
 		if (!r->e[i].frozen)
 			continue;
@@ -545,7 +545,7 @@
 		for (uint32_t i = 0; i < ENTRIES; i++) {
 			struct ment *e = &r->e[(first + i * 3) % ENTRIES];
 
-			mh_mesh_leave(e->m);
+			mh_mesh_drain(e->m);
 			n += count_disagreed(r, 500 * MS);
 			restart(e);
 			n += count_disagreed(r, 300 * MS);
@@ -573,7 +573,7 @@
 		restart(order[i]);
 	mrig_run(r, 3 * S);
 	CU_ASSERT_PTR_EQUAL(mrig_agreed(r), order[ENTRIES - 1]);
-	mh_mesh_leave(order[ENTRIES - 1]->m);
+	mh_mesh_drain(order[ENTRIES - 1]->m);
 	mrig_run(r, 100 * MS);
 	CU_ASSERT_PTR_EQUAL(mrig_agreed(r), order[0]);
 	mrig_destroy(r);
@@ -647,7 +647,7 @@
 	e = &all[coordinator->index == 0];
 	drained = &all[coordinator->index];
 	drained->stalled = "a";
-	drained->passes = 1;
+	drained->calls_to_end = 1;
 	j = new_job(e, pools, pieces);
 	j->stages[1].after = 1;
 	j->stages[2].after = 2;
@@ -663,7 +663,7 @@
 	mrig_run(r, 20 * MS);
 	CU_ASSERT_EQUAL(
 	    drained->calls, 5); /* inputs computed, stage in a call */
-	mh_mesh_leave(coordinator->m);
+	mh_mesh_drain(coordinator->m);
 	mh_scheds_drain(drained->cs);
 	mh_sched_batch_end(c, only_call(c), MH_BATCH_FULL);
 	mrig_run(r, 300 * MS);
@@ -714,7 +714,7 @@
 	mrig_run(r, 100 * MS);
 	c = mh_scheds_get(all[coordinator->index].cs, 0, 1);
 	CU_ASSERT_EQUAL_FATAL(c->jobs->len, 2);
-	mh_mesh_leave(coordinator->m);
+	mh_mesh_drain(coordinator->m);
 	mh_scheds_drain(all[coordinator->index].cs);
 	mrig_run(r, 200 * MS); /* the call isn't overdue yet */
 	next = mrig_agreed(r);
@@ -725,7 +725,7 @@
 	    ((struct mh_job *)g_ptr_array_index(c->jobs, 0))->fingerprint, 77);
 	mh_scheds_quarantine(all[next->index].cs, 77);
 	mrig_run(r, 40 * MS);
-	CU_ASSERT_EQUAL(e->held, 1);
+	CU_ASSERT_EQUAL(e->quarantined, 1);
 	CU_ASSERT_EQUAL(c->jobs->len, 0);
 	for (int i = 0; i < 2; i++) {
 		mh_broker_drop(e->b, j[i]);
@@ -801,7 +801,7 @@
 	mrig_destroy(r);
 }
 
-const struct test tests_home[] = {
+const struct test tests_coordinator[] = {
 	{ "coordinator: role lost twice", test_role_lost_twice },
 	{ "coordinator: quarantined job", test_quarantined_at_coordinator },
 	{ "coordinator: a recomputed stage is handed off",
--- a/regress/t_handon.c
+++ b/regress/t_handoff.c
@@ -67,7 +67,7 @@
 stall(struct handoff *h)
 {
 	h->coordinator->stalled = names[pick(h, 2)];
-	h->coordinator->passes = pick(h, CALLS_MOST);
+	h->coordinator->calls_to_end = pick(h, CALLS_MOST);
 }
 
 static struct handoff *
@@ -196,7 +196,7 @@
 	bool read = pick(h, 2) == 0;
 	uint32_t due = h->remote == NULL ? 0 : missing_pieces(h->remote, !read);
 
-	mh_mesh_leave(h->coordinator->m->m);
+	mh_mesh_drain(h->coordinator->m->m);
 	mh_scheds_drain(h->coordinator->cs);
 	if (read) {
 		mrig_run(h->r, READ_US);
@@ -239,7 +239,8 @@
 	due = dies ? die(h) : drain(h);
 	mrig_run(h->r, 2 * S);
 	computed = computed_elsewhere(h);
-	good = computed == due && h->requester->done == 1 && h->r->holes == 0;
+	good = computed == due && h->requester->done == 1 &&
+	    h->r->empty_results == 0;
 	if (!good)
 		fprintf(stderr,
 		    "seed %u: %u pieces computed elsewhere, %u expected\n",
@@ -313,7 +314,7 @@
 	uint32_t kept;
 
 	e->stalled = "a";
-	e->passes = 0;
+	e->calls_to_end = 0;
 	for (uint32_t i = 0; i < jobs; i++) {
 		j[i] = world_job(e->w, pools, pieces, 5 * S, 9 * S);
 		j[i]->slo_us = mh_now(e->m->k) + 5 * S;
@@ -472,7 +473,7 @@
 	}
 }
 
-const struct test tests_handon[] = {
+const struct test tests_handoff[] = {
 	{ "handoff: a coordinator drains at any moment",
 	    test_drain_at_any_moment },
 	{ "handoff: a coordinator dies at any moment",
--- a/regress/t_mesh.c
+++ b/regress/t_mesh.c
@@ -52,7 +52,7 @@
 
 	mrig_run(r, 2 * S);
 	coordinator = mrig_agreed(r);
-	mh_mesh_leave(coordinator->m);
+	mh_mesh_drain(coordinator->m);
 	mrig_run(r, 100 * MS);
 	CU_ASSERT_PTR_NOT_NULL_FATAL(mrig_agreed(r));
 	CU_ASSERT_PTR_NOT_EQUAL(mrig_agreed(r), coordinator);
@@ -60,7 +60,8 @@
 	coordinator->ready = false;
 	mrig_run(r, 400 * MS);
 	CU_ASSERT_PTR_NOT_EQUAL(
-	    mrig_home(&r->e[coordinator->index == 0]), coordinator->node);
+	    mrig_coordinator(&r->e[coordinator->index == 0]),
+	    coordinator->node);
 	mrig_destroy(r);
 }
 
@@ -172,7 +173,7 @@
 		r->e[i].rows = 7;
 	mrig_run(r, 2 * S);
 	for (uint32_t i = 0; i < ENTRIES; i++)
-		CU_ASSERT(r->e[i].fresh > 2);
+		CU_ASSERT(r->e[i].rows_confirmed > 2);
 	mrig_destroy(r);
 }
 
@@ -209,12 +210,12 @@
 	mrig_run(r, 1500 * MS);
 	for (uint32_t i = 0; i < ENTRIES; i++) {
 		CU_ASSERT_EQUAL(r->e[i].entries_hash, 77);
-		CU_ASSERT_EQUAL(r->e[i].taken_entries, i != 2);
+		CU_ASSERT_EQUAL(r->e[i].received_lists, i != 2);
 	}
 	r->e[2].entries = 9; /* later revision, same content */
 	mrig_run(r, 1 * S);
 	for (uint32_t i = 0; i < ENTRIES; i++)
-		CU_ASSERT_EQUAL(r->e[i].taken_entries, i != 2);
+		CU_ASSERT_EQUAL(r->e[i].received_lists, i != 2);
 	mrig_destroy(r);
 }
 
@@ -233,8 +234,8 @@
 		mrig_run(r, 2 * S);
 		for (uint32_t n = 0; n < ENTRIES; n++) {
 			r->e[n].conf_len = lens[i];
-			r->e[n].bytes_per_s = 10 * 1000 * 1000 / 8;
-			r->e[n].busy_until_us = r->now_us + 200 * MS;
+			r->e[n].link_bytes_per_s = 10 * 1000 * 1000 / 8;
+			r->e[n].link_busy_end_us = r->now_us + 200 * MS;
 		}
 		for (uint64_t v = 5; v < 8; v++) {
 			r->e[2].conf = v;
@@ -265,11 +266,11 @@
 	}
 	last->conf = 0;
 	for (uint32_t n = 0; n + 1 < ENTRIES; n++)
-		r->e[n].bytes_per_s = mrig_whole_len(&r->e[n]) * 2 / 3;
-	last->taken_conf = 0;
+		r->e[n].link_bytes_per_s = mrig_whole_len(&r->e[n]) * 2 / 3;
+	last->received_confs = 0;
 	mrig_run(r, 2 * S); /* the transfer takes 1.5 s */
 	CU_ASSERT_EQUAL(last->conf, 9);
-	CU_ASSERT_EQUAL(last->taken_conf, 1);
+	CU_ASSERT_EQUAL(last->received_confs, 1);
 	mrig_destroy(r);
 }
 
@@ -316,10 +317,10 @@
 	mrig_run(r, 4 * S);
 	for (uint32_t i = 0; i + 1 < ENTRIES; i++)
 		r->e[i].conf = 9;
-	r->e[ENTRIES - 1].taken_conf = 0;
+	r->e[ENTRIES - 1].received_confs = 0;
 	mrig_run(r, 1 * S);
 	CU_ASSERT_EQUAL(r->e[ENTRIES - 1].conf, 9);
-	CU_ASSERT_EQUAL(r->e[ENTRIES - 1].taken_conf, 1);
+	CU_ASSERT_EQUAL(r->e[ENTRIES - 1].received_confs, 1);
 	mrig_destroy(r);
 }
 
@@ -331,18 +332,18 @@
 
 	mrig_run(r, 2 * S);
 	r->e[0].conf_len = r->e[1].conf_len = 1 << 20;
-	r->e[1].taken_conf = 0;
+	r->e[1].received_confs = 0;
 	for (int i = 0; i < 8; i++)
-		mrig_ask_view(&r->e[1], &r->e[0], true);
+		mrig_request_view(&r->e[1], &r->e[0], true);
 	mrig_run(r, 2 * MS);
-	CU_ASSERT_EQUAL(r->e[1].taken_conf, 1);
+	CU_ASSERT_EQUAL(r->e[1].received_confs, 1);
 	mrig_run(r, 500 * MS);
 	r->e[0].conf_len = r->e[1].conf_len = 4 << 10;
-	r->e[1].taken_conf = 0;
+	r->e[1].received_confs = 0;
 	for (int i = 0; i < 40; i++)
-		mrig_ask_view(&r->e[1], &r->e[0], true);
+		mrig_request_view(&r->e[1], &r->e[0], true);
 	mrig_run(r, 2 * MS);
-	CU_ASSERT_EQUAL(r->e[1].taken_conf, 40);
+	CU_ASSERT_EQUAL(r->e[1].received_confs, 40);
 	mrig_destroy(r);
 }
 
@@ -373,33 +374,33 @@
 	struct mrig *r = mrig_create();
 
 	mrig_run(r, 2 * S);
-	CU_ASSERT_FALSE(mh_mesh_conf_behind(r->e[1].m));
+	CU_ASSERT_FALSE(mh_mesh_conf_stale(r->e[1].m));
 	r->e[2].lose_views = ENTRIES * 8;
 	r->e[2].conf = 5;
 	mrig_run(r, 400 * MS);
-	CU_ASSERT_TRUE(mh_mesh_conf_behind(r->e[1].m));
-	CU_ASSERT_FALSE(mh_mesh_conf_behind(r->e[2].m));
-	CU_ASSERT_EQUAL(mh_mesh_conf_behind_us(r->e[2].m), 0);
+	CU_ASSERT_TRUE(mh_mesh_conf_stale(r->e[1].m));
+	CU_ASSERT_FALSE(mh_mesh_conf_stale(r->e[2].m));
+	CU_ASSERT_EQUAL(mh_mesh_conf_stale_us(r->e[2].m), 0);
 	/* A further change doesn't restart the time. */
 	r->e[2].conf = 6;
 	mrig_run(r, 1500 * MS);
-	CU_ASSERT(mh_mesh_conf_behind_us(r->e[1].m) > 1600 * MS);
-	CU_ASSERT(mh_mesh_conf_behind_us(r->e[1].m) <= 1900 * MS);
+	CU_ASSERT(mh_mesh_conf_stale_us(r->e[1].m) > 1600 * MS);
+	CU_ASSERT(mh_mesh_conf_stale_us(r->e[1].m) <= 1900 * MS);
 	r->e[2].lose_views = 0;
 	mrig_run(r, 1 * S);
-	CU_ASSERT_FALSE(mh_mesh_conf_behind(r->e[1].m));
-	CU_ASSERT_EQUAL(mh_mesh_conf_behind_us(r->e[1].m), 0);
+	CU_ASSERT_FALSE(mh_mesh_conf_stale(r->e[1].m));
+	CU_ASSERT_EQUAL(mh_mesh_conf_stale_us(r->e[1].m), 0);
 	r->e[2].lose_views = ENTRIES * 8;
 	r->e[2].conf = 7;
 	mh_mesh_conf_changed(r->e[2].m);
 	mrig_run(r, 100 * MS);
-	CU_ASSERT(mh_mesh_conf_behind_us(r->e[1].m) <= 100 * MS);
+	CU_ASSERT(mh_mesh_conf_stale_us(r->e[1].m) <= 100 * MS);
 	/* The only entry that has it is lost. */
-	CU_ASSERT_TRUE(mh_mesh_conf_offered(r->e[1].m));
+	CU_ASSERT_TRUE(mh_mesh_conf_available(r->e[1].m));
 	r->e[2].cut = true;
 	mrig_run(r, 1 * S);
-	CU_ASSERT_FALSE(mh_mesh_conf_offered(r->e[1].m));
-	CU_ASSERT(mh_mesh_conf_behind_us(r->e[1].m) > 1 * S);
+	CU_ASSERT_FALSE(mh_mesh_conf_available(r->e[1].m));
+	CU_ASSERT(mh_mesh_conf_stale_us(r->e[1].m) > 1 * S);
 	mrig_destroy(r);
 }
 
@@ -416,12 +417,12 @@
 	uint32_t before;
 
 	mrig_run(r, 2 * S);
-	before = r->e[1].taken_conf;
+	before = r->e[1].received_confs;
 	for (int i = 0; i < 40; i++)
-		mrig_ask_view(&r->e[1], &r->e[0], false);
-	mrig_ask_view(&r->e[1], &r->e[0], true);
+		mrig_request_view(&r->e[1], &r->e[0], false);
+	mrig_request_view(&r->e[1], &r->e[0], true);
 	mrig_run(r, 2 * MS);
-	CU_ASSERT_EQUAL(r->e[1].taken_conf, before + 1);
+	CU_ASSERT_EQUAL(r->e[1].received_confs, before + 1);
 	mrig_destroy(r);
 }
 
@@ -438,16 +439,16 @@
 	mrig_run(r, 2 * S);
 	r->e[0].rows_len = 1 << 20;
 	for (int i = 0; i < 8; i++)
-		mrig_ask_view(&r->e[1], &r->e[0], false);
+		mrig_request_view(&r->e[1], &r->e[0], false);
 	mrig_run(r, 2 * MS);
-	CU_ASSERT_EQUAL(r->e[1].taken_rows, 1 << 20);
+	CU_ASSERT_EQUAL(r->e[1].received_row_bytes, 1 << 20);
 	r->e[0].rows_len = 4 << 10; /* changes alone: no request is put off */
-	r->e[1].taken_rows = 0;
+	r->e[1].received_row_bytes = 0;
 	mrig_run(r, 300 * MS);
 	for (int i = 0; i < 8; i++)
-		mrig_ask_view(&r->e[1], &r->e[0], false);
+		mrig_request_view(&r->e[1], &r->e[0], false);
 	mrig_run(r, 2 * MS);
-	CU_ASSERT_EQUAL(r->e[1].taken_rows, 8 * (4 << 10));
+	CU_ASSERT_EQUAL(r->e[1].received_row_bytes, 8 * (4 << 10));
 	mrig_destroy(r);
 }
 
@@ -491,13 +492,13 @@
 
 	mrig_run(r, 2 * S);
 	for (uint32_t i = 0; i < ENTRIES; i++)
-		n += mh_mesh_reads(r->e[i].m);
+		n += mh_mesh_is_reader(r->e[i].m);
 	CU_ASSERT_EQUAL(n, 2);
 	for (uint32_t i = 0; i < ENTRIES; i++)
-		r->e[i].reads = !mh_mesh_reads(r->e[i].m);
+		r->e[i].can_read = !mh_mesh_is_reader(r->e[i].m);
 	mrig_run(r, 1 * S);
 	for (uint32_t i = 0; i < ENTRIES; i++)
-		m += mh_mesh_reads(r->e[i].m) && r->e[i].reads;
+		m += mh_mesh_is_reader(r->e[i].m) && r->e[i].can_read;
 	CU_ASSERT_EQUAL(m, 2);
 	mrig_destroy(r);
 }
--- a/regress/t_pack.c
+++ b/regress/t_pack.c
@@ -31,7 +31,7 @@
 
 	CU_ASSERT(g_bytes_get_size(packed) < LEN / 3);
 	back = mh_unpack(g_bytes_get_data(packed, NULL),
-	    g_bytes_get_size(packed), MH_UNPACKED_MOST, NULL);
+	    g_bytes_get_size(packed), MH_UNPACKED_MAX, NULL);
 	CU_ASSERT_PTR_NOT_NULL_FATAL(back);
 	CU_ASSERT_TRUE(g_bytes_equal(text, back));
 	CU_ASSERT_PTR_NULL(mh_pack(nothing, NULL));
@@ -51,12 +51,12 @@
 	uint8_t *more = g_malloc0(len + 1);
 
 	memcpy(more, data, len);
-	CU_ASSERT_PTR_NULL(mh_unpack(data, len - 1, MH_UNPACKED_MOST, NULL));
-	CU_ASSERT_PTR_NULL(mh_unpack(more, len + 1, MH_UNPACKED_MOST, NULL));
+	CU_ASSERT_PTR_NULL(mh_unpack(data, len - 1, MH_UNPACKED_MAX, NULL));
+	CU_ASSERT_PTR_NULL(mh_unpack(more, len + 1, MH_UNPACKED_MAX, NULL));
 	CU_ASSERT_PTR_NULL(mh_unpack(data, len, LEN - 1, NULL));
-	CU_ASSERT_PTR_NULL(mh_unpack(data, 0, MH_UNPACKED_MOST, NULL));
+	CU_ASSERT_PTR_NULL(mh_unpack(data, 0, MH_UNPACKED_MAX, NULL));
 	CU_ASSERT_PTR_NULL(
-	    mh_unpack("{\"version\":3}", 13, MH_UNPACKED_MOST, NULL));
+	    mh_unpack("{\"version\":3}", 13, MH_UNPACKED_MAX, NULL));
 	back = mh_unpack(data, len, LEN, NULL);
 	CU_ASSERT_PTR_NOT_NULL(back);
 	mh_bytes_clear(&back);
@@ -100,7 +100,7 @@
 	size_t bytes[2];
 
 	for (size_t i = 0; i < 2; i++) {
-		struct mh_past *p = mh_past_create();
+		struct mh_history *p = mh_history_create();
 		GString *s = g_string_new("{\"version\":3}");
 		GBytes *packed, *back;
 		uint64_t base;
@@ -108,30 +108,30 @@
 		for (uint32_t n = 0; s->len < lens[i]; n++)
 			g_string_append_printf(
 			    s, "{\"name\":\"r%u\"}", n * 7919);
-		mh_past_add(p, 5, s->str, s->len);
+		mh_history_add(p, 5, s->str, s->len);
 		s->str[11] = '4';
 		g_string_insert(s, (gssize)s->len / 2, "{\"name\":\"new\"}");
-		mh_past_add(p, 6, s->str, s->len);
-		packed = mh_past_packed(p, 5, &base);
+		mh_history_add(p, 6, s->str, s->len);
+		packed = mh_history_packed(p, 5, &base);
 		CU_ASSERT_EQUAL(base, 5);
 		bytes[i] = g_bytes_get_size(packed);
 		CU_ASSERT(bytes[i] < lens[i] / 1000);
 		back = mh_unpack(g_bytes_get_data(packed, NULL), bytes[i],
-		    MH_UNPACKED_MOST, mh_past_text(p, 5));
+		    MH_UNPACKED_MAX, mh_history_text(p, 5));
 		CU_ASSERT_PTR_NOT_NULL_FATAL(back);
-		CU_ASSERT_TRUE(g_bytes_equal(back, mh_past_latest(p)));
+		CU_ASSERT_TRUE(g_bytes_equal(back, mh_history_latest(p)));
 		g_bytes_unref(back);
 		/* with another base: NULL and not a wrong document */
 		back = mh_unpack(g_bytes_get_data(packed, NULL), bytes[i],
-		    MH_UNPACKED_MOST, mh_past_text(p, 6));
+		    MH_UNPACKED_MAX, mh_history_text(p, 6));
 		CU_ASSERT_PTR_NULL(back);
 		g_bytes_unref(packed);
-		packed = mh_past_packed(p, 4, &base);
+		packed = mh_history_packed(p, 4, &base);
 		CU_ASSERT_EQUAL(base, 0);
 		CU_ASSERT(g_bytes_get_size(packed) > 20 * bytes[i]);
 		g_bytes_unref(packed);
 		g_string_free(s, TRUE);
-		mh_past_destroy(p);
+		mh_history_destroy(p);
 	}
 }
 
@@ -139,23 +139,23 @@
 static void
 test_history_is_bounded(void)
 {
-	struct mh_past *p = mh_past_create();
+	struct mh_history *p = mh_history_create();
 	char *text = g_strnfill(1 << 20, 'x');
 	uint64_t base;
 	GBytes *packed;
 
-	CU_ASSERT_PTR_NULL(mh_past_latest(p));
-	CU_ASSERT_PTR_NULL(mh_past_packed(p, 0, &base));
+	CU_ASSERT_PTR_NULL(mh_history_latest(p));
+	CU_ASSERT_PTR_NULL(mh_history_packed(p, 0, &base));
 	for (uint64_t v = 1; v <= 20; v++)
-		mh_past_add(p, v, text, v < 10 ? 10 : 1 << 20);
-	CU_ASSERT_PTR_NULL(mh_past_text(p, 16));
-	CU_ASSERT_PTR_NOT_NULL(mh_past_text(p, 17));
-	packed =
-	    mh_past_packed(p, 20, &base); /* a receiver that has the latest */
+		mh_history_add(p, v, text, v < 10 ? 10 : 1 << 20);
+	CU_ASSERT_PTR_NULL(mh_history_text(p, 16));
+	CU_ASSERT_PTR_NOT_NULL(mh_history_text(p, 17));
+	packed = mh_history_packed(
+	    p, 20, &base); /* a receiver that has the latest */
 	CU_ASSERT_EQUAL(base, 0);
 	g_bytes_unref(packed);
 	g_free(text);
-	mh_past_destroy(p);
+	mh_history_destroy(p);
 }
 
 const struct test tests_pack[] = {
--- a/regress/t_platform_store.c
+++ b/regress/t_platform_store.c
@@ -407,7 +407,7 @@
 		GBytes *text;
 
 		play(&r);
-		text = mh_past_latest(plat_view_conf_past(r.view));
+		text = mh_history_latest(plat_view_conf_past(r.view));
 		CU_ASSERT_EQUAL(plat_view_conf_revision(r.view), 3);
 		CU_ASSERT(g_bytes_get_size(text) > 0);
 		finish(&r);
@@ -620,12 +620,12 @@
 static void
 test_listed_gone(void)
 {
-	struct mh_listed *l = mh_listed_create();
+	struct mh_liveness *l = mh_liveness_create();
 	GPtrArray *gone;
 	char node[8];
 
 	for (int at = 0; at <= 200; at += 2) {
-		mh_listed_begin(l);
+		mh_liveness_begin(l);
 		for (int i = 0; i < 10; i++) {
 			bool alive = i >= 3 || (i == 2 && at % 50 == 0);
 
@@ -633,9 +633,9 @@
 			/* We ourselves hear of nobody for a while. */
 			alive = alive && (at < 100 || at > 180);
 			if (i != 1 || at < 30)
-				mh_listed_note(l, node, alive, at * S);
+				mh_liveness_note(l, node, alive, at * S);
 		}
-		gone = mh_listed_gone(l, at * S);
+		gone = mh_liveness_departed(l, at * S);
 		if (at <= 60 || (at >= 100 && at <= 180))
 			CU_ASSERT_EQUAL(gone->len, 0);
 		if (at > 60 && at < 100) {
@@ -644,7 +644,7 @@
 		}
 		g_ptr_array_free(gone, TRUE);
 	}
-	mh_listed_destroy(l);
+	mh_liveness_destroy(l);
 }
 
 /*
@@ -660,17 +660,17 @@
 
 	mrig_run(r, 2 * S);
 	for (uint32_t i = 0; i < ENTRIES; i++)
-		r->e[i].reads = false;
+		r->e[i].can_read = false;
 	mrig_run(r, 1 * S);
 	for (uint32_t i = 0; i < ENTRIES; i++)
-		n += mh_mesh_reads(r->e[i].m);
+		n += mh_mesh_is_reader(r->e[i].m);
 	CU_ASSERT_EQUAL(n, 3);
 	for (uint32_t i = 0; i < ENTRIES; i++)
-		r->e[i].reads = true;
+		r->e[i].can_read = true;
 	mrig_run(r, 1 * S);
 	n = 0;
 	for (uint32_t i = 0; i < ENTRIES; i++)
-		n += mh_mesh_reads(r->e[i].m);
+		n += mh_mesh_is_reader(r->e[i].m);
 	CU_ASSERT_EQUAL(n, 2);
 	mrig_destroy(r);
 }
--- a/regress/t_start.c
+++ b/regress/t_start.c
@@ -17,7 +17,7 @@
 restart(struct ment *e)
 {
 	mh_kern_destroy(e->k);
-	e->off = e->down = false;
+	e->powered_off = e->down = false;
 	mrig_start(e);
 }
 
@@ -63,7 +63,7 @@
 
 	mrig_run(r, 10 * S);
 	for (uint32_t i = 0; i < ENTRIES; i++)
-		r->e[i].off = true;
+		r->e[i].powered_off = true;
 	mrig_run(r, 2 * S);
 	for (uint32_t i = 0; i < ENTRIES; i++) {
 		restart(&r->e[i]);
@@ -72,7 +72,7 @@
 	mrig_run(r, 300 * MS);
 	CU_ASSERT_PTR_NOT_NULL(mrig_agreed(r));
 	for (uint32_t i = 0; i < ENTRIES; i++)
-		links += r->e[i].dialled;
+		links += r->e[i].links_opened;
 	/*
 	 * A few each, not one to every other, though dials fail during the
 	 * start.
@@ -94,7 +94,7 @@
 	mrig_run(r, 10 * S);
 	coordinator = mrig_agreed(r);
 	for (uint32_t i = 0; i < ENTRIES; i++)
-		r->e[i].opens_us = 700 * MS;
+		r->e[i].connect_us = 700 * MS;
 	e = &r->e[coordinator->index == 0];
 	restart(e);
 	mrig_run(r, 4 * S);
@@ -119,7 +119,7 @@
 	}
 	mrig_run(r, 1 * S);
 	CU_ASSERT_EQUAL(r->e[ENTRIES - 1].rows, 9);
-	CU_ASSERT_EQUAL(r->e[ENTRIES - 1].taken_rows, 1000);
+	CU_ASSERT_EQUAL(r->e[ENTRIES - 1].received_row_bytes, 1000);
 	mrig_destroy(r);
 }
 
@@ -206,7 +206,7 @@
 	}
 	mrig_run(r, 3500 * MS);
 	for (uint32_t i = 0; i < ENTRIES; i++)
-		links += r->e[i].dialled;
+		links += r->e[i].links_opened;
 	CU_ASSERT(links > 0 && links <= 4 * ENTRIES);
 	if (links > 4 * ENTRIES)
 		fprintf(stderr, "%u links of %u entries\n", links, ENTRIES);
