--- a/lib/entry.c
+++ b/lib/entry.c
@@ -444,7 +444,7 @@
 	uint64_t of[] = { mh_hash(org->name, strlen(org->name)),
 		mh_hash(m->path, strlen(m->path)), mh_hash(data, len) };
 
-	return mh_poison_print(of, G_N_ELEMENTS(of));
+	return mh_poison_fingerprint(of, G_N_ELEMENTS(of));
 }
 
 /* Endpoints end under it: it is refused before it costs one more. */
@@ -458,7 +458,7 @@
 			  "Retry-After." };
 
 	r->print = fingerprint(m, r->org);
-	p.retry_us = mh_poison_held_us(e->k, r->print);
+	p.retry_us = mh_poison_quarantine_us(e->k, r->print);
 	if (p.retry_us == 0)
 		return true;
 	mh_count(e->k, "entry_held", 1);
@@ -467,7 +467,7 @@
 }
 
 void
-mh_entry_held(struct mh_kern *k, uint64_t print)
+mh_entry_quarantine(struct mh_kern *k, uint64_t print)
 {
 	struct entry *e = get(k);
 	GList *all = g_hash_table_get_values(e->requests);
@@ -711,7 +711,7 @@
 	mh_predict_create(k);
 	mh_relay_create(k);
 	mh_limit_create(k, vm);
-	mh_poison_hub_create(k);
+	mh_poison_member_create(k);
 	e->k = k;
 	e->vm = g_strdup(vm);
 	e->domain = g_strdup(domain);
--- a/lib/gate.c
+++ b/lib/gate.c
@@ -245,7 +245,8 @@
 	a->domain = g->domain;
 	a->n_parts = q->n_parts;
 	memcpy(a->parts, q->parts, sizeof(a->parts));
-	a->isolation_hash = mh_poison_apart(g->k, q->fingerprint, q->pool);
+	a->isolation_hash =
+	    mh_poison_isolation_hash(g->k, q->fingerprint, q->pool);
 	a->n_tried = q->n_tried;
 	for (uint32_t i = 0; i < q->n_tried; i++)
 		a->tried[i] = q->tried[i];
@@ -271,7 +272,7 @@
 bool
 mh_gate_refuse_quarantined(struct mh_gate *g, struct mh_greq *q)
 {
-	int64_t us = mh_poison_held_us(g->k, q->fingerprint);
+	int64_t us = mh_poison_quarantine_us(g->k, q->fingerprint);
 
 	if (us == 0)
 		return false;
@@ -524,7 +525,7 @@
 	else if (n != NULL)
 		mh_node_failed(g->f, n, a->genuine ? "status" : "not-genuine");
 	if (a->genuine && a->status >= 500) /* failed, but did not crash */
-		mh_poison_ran(g->k, q->fingerprint, q->pool);
+		mh_poison_completed(g->k, q->fingerprint, q->pool);
 	if (!a->genuine || a->status >= 500 || !continues)
 		return failed_answer(g, q, a);
 	q->last_data_us = mh_now(g->k);
@@ -572,13 +573,13 @@
 static void
 note_break(struct mh_gate *g, const struct mh_try *t, const struct mh_node *n)
 {
-	struct mh_poison_end e = { t->node, t->req->pool, t->req->fingerprint,
+	struct mh_poison_break e = { t->node, t->req->pool, t->req->fingerprint,
 		t->sent_us,
 		t->head_us != 0 &&
-		    mh_now(g->k) - t->head_us > MH_POISON_FRESH_US };
+		    mh_now(g->k) - t->head_us > MH_POISON_EARLY_US };
 
 	if (n != NULL && !n->draining)
-		mh_poison_broke(g->k, &e);
+		mh_poison_call_broke(g->k, &e);
 }
 
 void
@@ -589,7 +590,7 @@
 
 	if (end == MH_CALL_COMPLETE) {
 		meter_answer(g, q);
-		mh_poison_ran(g->k, q->fingerprint, q->pool);
+		mh_poison_completed(g->k, q->fingerprint, q->pool);
 		mh_gate_note_run(g, q);
 		mh_gate_log_end(g, q, "answered", 0);
 		mh_count(g->k, "answered", 1);
--- a/lib/gatejob.c
+++ b/lib/gatejob.c
@@ -130,7 +130,8 @@
 		mh_job_destroy(j);
 		mh_gate_refuse(g, q,
 		    q->runs > 0 ? MH_RUN_QUARANTINED : MH_QUARANTINED,
-		    MAX(retry_us, mh_poison_held_us(g->k, q->fingerprint)));
+		    MAX(retry_us,
+			mh_poison_quarantine_us(g->k, q->fingerprint)));
 		return;
 	case MH_JOB_FAILED:
 	case MH_JOB_HANDED_OFF:
--- a/lib/marlhoist.h
+++ b/lib/marlhoist.h
@@ -1150,12 +1150,12 @@
 
 /* poisonmember.c: service "poison" of entry daemons and side processes */
 
-/** mh_poison_hub_create() - creates service "poison" in either. */
-void mh_poison_hub_create(struct mh_kern *k);
-/** mh_entry_held() - ends active requests that are now quarantined. */
-void mh_entry_held(struct mh_kern *k, uint64_t fingerprint);
-/** mh_side_held() - refuses waiting calls of a quarantined request. */
-void mh_side_held(struct mh_kern *k, uint64_t fingerprint);
+/** mh_poison_member_create() - creates service "poison" in either. */
+void mh_poison_member_create(struct mh_kern *k);
+/** mh_entry_quarantine() - ends active requests that are now quarantined. */
+void mh_entry_quarantine(struct mh_kern *k, uint64_t fingerprint);
+/** mh_side_quarantine() - refuses waiting calls of a quarantined request. */
+void mh_side_quarantine(struct mh_kern *k, uint64_t fingerprint);
 
 /* admin.c */
 
--- a/lib/pipe.c
+++ b/lib/pipe.c
@@ -224,7 +224,7 @@
 		give_up(r, p.detail, 0);
 		return;
 	}
-	p.retry_us = mh_poison_held_us(r->e->k, r->print);
+	p.retry_us = mh_poison_quarantine_us(r->e->k, r->print);
 	if (!r->key_given && (r->maybe_ran || r->attempts > 0)) {
 		p.status = 502;
 		p.outcome = "failed";
@@ -396,7 +396,7 @@
 	if ((not_run && refused_for_good(r, res)) || text_is_whole(r, p))
 		return;
 	if (res->reason == WHY_HELD ||
-	    mh_poison_held_us(r->e->k, r->print) > 0) {
+	    mh_poison_quarantine_us(r->e->k, r->print) > 0) {
 		pipe_held(r);
 		return;
 	}
@@ -589,7 +589,7 @@
 
 	r->hedge = NULL;
 	/* One that may end endpoints has one at a time. */
-	if (mh_poison_apart(r->e->k, r->print, stage_of(r)->pool) != 0)
+	if (mh_poison_isolation_hash(r->e->k, r->print, stage_of(r)->pool) != 0)
 		return;
 	if (running_tries(r) != 1 || r->picks >= MAX_PICKS ||
 	    mh_route_usable(r->e->k, stage_of(r)->pool) < 2 || !spend(r))
--- a/lib/poison.c
+++ b/lib/poison.c
@@ -75,7 +75,7 @@
 }
 
 uint64_t
-mh_poison_print(const uint64_t *parts, size_t n)
+mh_poison_fingerprint(const uint64_t *parts, size_t n)
 {
 	return MAX(mh_hash(parts, n * sizeof(*parts)), 1);
 }
@@ -474,7 +474,7 @@
 }
 
 int64_t
-mh_poison_held_us(struct mh_kern *k, uint64_t fingerprint)
+mh_poison_quarantine_us(struct mh_kern *k, uint64_t fingerprint)
 {
 	struct mh_poison *s = mh_poison_of(k);
 	const struct quarantine *q = s == NULL
@@ -517,7 +517,8 @@
 }
 
 uint64_t
-mh_poison_apart(struct mh_kern *k, uint64_t fingerprint, const char *pool)
+mh_poison_isolation_hash(
+    struct mh_kern *k, uint64_t fingerprint, const char *pool)
 {
 	struct mh_poison *s = mh_poison_of(k);
 	uint64_t of[2];
@@ -540,7 +541,7 @@
 }
 
 bool
-mh_poison_waits(struct mh_kern *k, uint64_t fingerprint, const char *pool)
+mh_poison_should_wait(struct mh_kern *k, uint64_t fingerprint, const char *pool)
 {
 	struct mh_poison *s = mh_poison_of(k);
 	const struct evidence *r;
--- a/lib/poison.h
+++ b/lib/poison.h
@@ -15,7 +15,7 @@
  * A crash is early within this time after the first data of the answer, else
  * late.  Most poison requests crash their endpoint early.
  */
-#define MH_POISON_FRESH_US (500 * MH_US_PER_MS)
+#define MH_POISON_EARLY_US (500 * MH_US_PER_MS)
 
 /** struct mh_poison_ops - callbacks of the service "poison". */
 struct mh_poison_ops {
@@ -30,26 +30,26 @@
 	void *arg;
 };
 
-/** struct mh_poison_end - a call whose connection to an endpoint broke. */
-struct mh_poison_end {
+/** struct mh_poison_break - a call whose connection to an endpoint broke. */
+struct mh_poison_break {
 	const char *endpoint; /* id of the incarnation */
 	const char *pool;
 	uint64_t fingerprint; /* of the request; 0: not known */
 	int64_t sent_us; /* when the call was sent */
-	bool late; /* more than MH_POISON_FRESH_US after its first data */
+	bool late; /* more than MH_POISON_EARLY_US after its first data */
 };
 
 /** mh_poison_create() - service "poison", owned by the kernel. */
 void mh_poison_create(struct mh_kern *k, const struct mh_poison_ops *ops);
-/** mh_poison_print() - combines hashes of a request's parts; never 0. */
-uint64_t mh_poison_print(const uint64_t *parts, size_t n);
+/** mh_poison_fingerprint() - combines hashes of a request's parts; never 0. */
+uint64_t mh_poison_fingerprint(const uint64_t *parts, size_t n);
 /*
  * In a process without the service the functions below do nothing and return
  * 0, false or an empty array.
  */
 
-/** mh_poison_broke() - a call broke; its endpoint may have crashed. */
-void mh_poison_broke(struct mh_kern *k, const struct mh_poison_end *b);
+/** mh_poison_call_broke() - a call broke; its endpoint may have crashed. */
+void mh_poison_call_broke(struct mh_kern *k, const struct mh_poison_break *b);
 /**
  * mh_poison_answered() - an endpoint has sent data.
  * @sent_us: when the call was sent that the data belongs to
@@ -58,32 +58,34 @@
  */
 void mh_poison_answered(
     struct mh_kern *k, const char *endpoint, int64_t sent_us, bool unique_id);
-/** mh_poison_ran() - an endpoint of @pool ran a request and is alive. */
-void mh_poison_ran(struct mh_kern *k, uint64_t fingerprint, const char *pool);
+/** mh_poison_completed() - an endpoint of @pool ran a request and is alive. */
+void mh_poison_completed(
+    struct mh_kern *k, uint64_t fingerprint, const char *pool);
 /**
- * mh_poison_held_us() - remaining quarantine of a request.
+ * mh_poison_quarantine_us() - remaining quarantine of a request.
  *
  * Return: microseconds; 0: it may run.
  */
-int64_t mh_poison_held_us(struct mh_kern *k, uint64_t fingerprint);
+int64_t mh_poison_quarantine_us(struct mh_kern *k, uint64_t fingerprint);
 /**
- * mh_poison_apart() - isolates suspected requests from each other.
+ * mh_poison_isolation_hash() - isolates suspected requests from each other.
  *
  * Two suspects that share an endpoint can't be told apart when it crashes.
  *
  * Return: the hash to choose the request's endpoint by, which is the same in
  * all processes and changes after each crash; 0: it is not suspected.
  */
-uint64_t mh_poison_apart(
+uint64_t mh_poison_isolation_hash(
     struct mh_kern *k, uint64_t fingerprint, const char *pool);
 /**
- * mh_poison_waits() - whether a request should not be sent yet.
+ * mh_poison_should_wait() - whether a request should not be sent yet.
  *
  * True for a likely poison request if an endpoint that ran it has just
  * crashed.  Some tenths of a second later the crash has been evaluated and the
  * request is quarantined or may run.
  */
-bool mh_poison_waits(struct mh_kern *k, uint64_t fingerprint, const char *pool);
+bool mh_poison_should_wait(
+    struct mh_kern *k, uint64_t fingerprint, const char *pool);
 /**
  * mh_poison_receive() - takes in what another process announced.
  * @pass_on: others are linked to us alone, so forward what is new to them
--- a/lib/poisonends.c
+++ b/lib/poisoncrash.c
@@ -261,7 +261,7 @@
 }
 
 void
-mh_poison_broke(struct mh_kern *k, const struct mh_poison_end *b)
+mh_poison_call_broke(struct mh_kern *k, const struct mh_poison_break *b)
 {
 	struct mh_poison *s = mh_poison_of(k);
 	/* After a disproved crash, later breaks are a new crash. */
@@ -400,7 +400,7 @@
 }
 
 void
-mh_poison_ran(struct mh_kern *k, uint64_t fingerprint, const char *pool)
+mh_poison_completed(struct mh_kern *k, uint64_t fingerprint, const char *pool)
 {
 	struct mh_poison *s = mh_poison_of(k);
 	struct completion_report n = { fingerprint, pool, mh_now(k), 0 };
--- a/lib/poisonint.h
+++ b/lib/poisonint.h
@@ -24,7 +24,7 @@
 /** struct crash_request - a request that an endpoint had when it crashed. */
 struct crash_request {
 	uint64_t fingerprint;
-	bool late; /* see struct mh_poison_end */
+	bool late; /* see struct mh_poison_break */
 };
 
 /** struct crash - a presumed crash of an endpoint. */
@@ -81,7 +81,7 @@
 	uint32_t seen; /* crashes at which it was running */
 	uint32_t base; /* points for an earlier quarantine */
 	uint32_t crashes; /* that are blamed on it */
-	uint32_t late_crashes; /* of these, see struct mh_poison_end */
+	uint32_t late_crashes; /* of these, see struct mh_poison_break */
 	uint32_t sole_crashes; /* for which no other request is blamed */
 	bool last_sole; /* its last crash is one of these */
 };
--- a/lib/poisonhub.c
+++ b/lib/poisonmember.c
@@ -41,9 +41,9 @@
 op_quarantined(void *arg, uint64_t fingerprint)
 {
 	if (mh_kern_get(arg, "entry") != NULL)
-		mh_entry_held(arg, fingerprint);
+		mh_entry_quarantine(arg, fingerprint);
 	if (mh_kern_get(arg, "side") != NULL)
-		mh_side_held(arg, fingerprint);
+		mh_side_quarantine(arg, fingerprint);
 }
 
 static void
@@ -78,7 +78,7 @@
 }
 
 void
-mh_poison_hub_create(struct mh_kern *k)
+mh_poison_member_create(struct mh_kern *k)
 {
 	struct mh_poison_ops ops = { .announce = op_announce,
 		.pool_size = op_pool_size,
--- a/lib/sched.c
+++ b/lib/sched.c
@@ -102,7 +102,7 @@
 
 		if (j->fingerprint == fingerprint)
 			end_job(sc, j, MH_JOB_QUARANTINED,
-			    mh_poison_held_us(sc->k, fingerprint));
+			    mh_poison_quarantine_us(sc->k, fingerprint));
 		else
 			i++;
 	}
@@ -186,10 +186,10 @@
 		sc->ops.end(sc->ops.arg, j, MH_JOB_DONE, 0);
 		return;
 	}
-	if (mh_poison_held_us(sc->k, j->fingerprint) > 0) {
+	if (mh_poison_quarantine_us(sc->k, j->fingerprint) > 0) {
 		mh_sched_release(sc, j);
 		sc->ops.end(sc->ops.arg, j, MH_JOB_QUARANTINED,
-		    mh_poison_held_us(sc->k, j->fingerprint));
+		    mh_poison_quarantine_us(sc->k, j->fingerprint));
 		return;
 	}
 	if (!mh_sched_admit(sc, j)) {
@@ -326,14 +326,14 @@
 	for (guint i = 0; i < b->items->len; i++) {
 		const struct mh_job *j =
 		    g_array_index(b->items, struct mh_batch_item, i).job;
-		struct mh_poison_end e = { b->node, b->pool,
+		struct mh_poison_break e = { b->node, b->pool,
 			j == NULL ? 0 : j->fingerprint, b->sent_us, false };
 
 		if (end == MH_BATCH_DONE && j != NULL)
-			mh_poison_ran(sc->k, j->fingerprint, b->pool);
+			mh_poison_completed(sc->k, j->fingerprint, b->pool);
 		else if (end == MH_BATCH_LOST && b->conn_lost && n != NULL &&
 		    !n->draining)
-			mh_poison_broke(sc->k, &e);
+			mh_poison_call_broke(sc->k, &e);
 	}
 }
 
--- a/lib/schedrun.c
+++ b/lib/schedrun.c
@@ -218,7 +218,8 @@
 
 			if (ss->remaining <= ss->in_flight || ss->pool != p ||
 			    !mh_sched_is_ready(j, s) ||
-			    mh_poison_waits(sc->k, j->fingerprint, p->name))
+			    mh_poison_should_wait(
+				sc->k, j->fingerprint, p->name))
 				continue;
 			u.key = mh_sched_slack_key(j, s);
 			set_domain(sc, p, &u);
@@ -261,8 +262,9 @@
 	    : g_array_index(b->items, struct mh_batch_item, 0).job;
 
 	return first == NULL || first == j ||
-	    (mh_poison_apart(sc->k, j->fingerprint, b->pool) == 0 &&
-		mh_poison_apart(sc->k, first->fingerprint, b->pool) == 0);
+	    (mh_poison_isolation_hash(sc->k, j->fingerprint, b->pool) == 0 &&
+		mh_poison_isolation_hash(sc->k, first->fingerprint, b->pool) ==
+		    0);
 }
 
 static void
--- a/lib/side.c
+++ b/lib/side.c
@@ -429,7 +429,7 @@
 	mh_roster_create(k, a->vm, a->domain, a->pool);
 	mh_conf_create(k);
 	mh_claim_create(k, a->vm, a->pool, a->incarnation, s->ledger);
-	mh_poison_hub_create(k);
+	mh_poison_member_create(k);
 	mh_kern_add(k, "side", s, handle, destroy);
 	mh_conf_on_change(k, on_config, s);
 	mh_hub_on(k, MH__FRAME__BODY_CALL, on_call, s);
--- a/lib/sidecall.c
+++ b/lib/sidecall.c
@@ -256,7 +256,7 @@
 static bool
 refused_held(struct side *s, struct call *c)
 {
-	int64_t us = mh_poison_held_us(s->k, c->print);
+	int64_t us = mh_poison_quarantine_us(s->k, c->print);
 
 	if (us > 0)
 		call_refuse(c, WHY_HELD, us);
@@ -264,7 +264,7 @@
 }
 
 void
-mh_side_held(struct mh_kern *k, uint64_t print)
+mh_side_quarantine(struct mh_kern *k, uint64_t print)
 {
 	struct side *s = mh_kern_get(k, "side");
 	GList *all = g_hash_table_get_values(s->calls);
@@ -565,19 +565,20 @@
 static void
 note_request(struct side *s, const struct call *c, const struct mh_run_msg *m)
 {
-	struct mh_poison_end e = { s->endpoint, s->pool, c->print, c->run_at_us,
+	struct mh_poison_break e = { s->endpoint, s->pool, c->print,
+		c->run_at_us,
 		c->first_us > 0 &&
-		    c->endpoint_us - c->first_us > MH_POISON_FRESH_US };
+		    c->endpoint_us - c->first_us > MH_POISON_EARLY_US };
 
 	if (m->broke) {
 		if (s->broke_us == 0)
 			s->broke_us = mh_now(s->k);
-		mh_poison_broke(s->k, &e);
+		mh_poison_call_broke(s->k, &e);
 		return;
 	}
 	if (!m->whole)
 		return;
-	mh_poison_ran(s->k, c->print, s->pool);
+	mh_poison_completed(s->k, c->print, s->pool);
 	if (s->broke_us == 0)
 		return;
 	mh_poison_answered(s->k, s->endpoint, c->run_at_us, false);
--- a/regress/fallrig.c
+++ b/regress/crashrig.c
@@ -2,7 +2,7 @@
  * DOC: Linked entries, callers, and engines that poison requests crash.
  */
 
-#include "fallrig.h"
+#include "crashrig.h"
 
 #include <string.h>
 
--- a/regress/t_fall.c
+++ b/regress/t_crash.c
@@ -2,7 +2,7 @@
  * DOC: Poison requests, which crash every endpoint that begins to run them.
  */
 
-#include "fallrig.h"
+#include "crashrig.h"
 #include "net.h"
 #include "regress.h"
 
@@ -552,7 +552,7 @@
 	own_destroy(&o);
 }
 
-const struct test tests_fall[] = {
+const struct test tests_crash[] = {
 	{ "crash: a poison request", test_crashes_engines },
 	{ "crash: others are served", test_others_are_served },
 	{ "crash: plain requests", test_plain },
--- a/regress/t_late.c
+++ b/regress/t_latecrash.c
@@ -2,7 +2,7 @@
  * DOC: Poison requests with late crashes, long after the answer began.
  */
 
-#include "fallrig.h"
+#include "crashrig.h"
 #include "regress.h"
 
 #include <stdio.h>
@@ -141,7 +141,7 @@
 		CU_ASSERT_TRUE(is_contained(&row, seeds[i]));
 }
 
-const struct test tests_late[] = {
+const struct test tests_late_crash[] = {
 	{ "late: causes that show late", test_late_poison },
 	{ "late: two causes and falls", test_two_late_poison },
 	{ "late: a cause and falls", test_late_poison_and_crashes },
--- a/regress/t_poison.c
+++ b/regress/t_poison.c
@@ -65,20 +65,20 @@
 static void
 break_call(struct prig *r, const char *endpoint, uint64_t fingerprint)
 {
-	struct mh_poison_end e = { endpoint, "pool", fingerprint,
+	struct mh_poison_break e = { endpoint, "pool", fingerprint,
 		r->now_us - 100 * MS, false };
 
-	mh_poison_broke(r->k, &e);
+	mh_poison_call_broke(r->k, &e);
 }
 
-/* A late crash, see struct mh_poison_end. */
+/* A late crash, see struct mh_poison_break. */
 static void
 break_call_late(struct prig *r, const char *endpoint, uint64_t fingerprint)
 {
-	struct mh_poison_end e = { endpoint, "pool", fingerprint,
+	struct mh_poison_break e = { endpoint, "pool", fingerprint,
 		r->now_us - 2 * S, true };
 
-	mh_poison_broke(r->k, &e);
+	mh_poison_call_broke(r->k, &e);
 }
 
 /* Three endpoints crash under a request, for good. */
@@ -113,13 +113,13 @@
 	struct prig *r = prig_create();
 
 	for (size_t i = 0; i < G_N_ELEMENTS(ids); i++) {
-		CU_ASSERT_EQUAL(mh_poison_held_us(r->k, POISON), 0);
+		CU_ASSERT_EQUAL(mh_poison_quarantine_us(r->k, POISON), 0);
 		break_call_late(r, ids[i], POISON);
 		if (i == 1)
 			break_call(r, ids[i], POISON);
 		advance(r, 400 * MS);
 	}
-	CU_ASSERT(mh_poison_held_us(r->k, POISON) > 0);
+	CU_ASSERT(mh_poison_quarantine_us(r->k, POISON) > 0);
 	prig_destroy(r);
 }
 
@@ -136,14 +136,14 @@
 	break_call(r, "other", 0);
 	advance(r, 400 * MS);
 	for (size_t i = 0; i < G_N_ELEMENTS(ids); i++) {
-		CU_ASSERT_EQUAL(mh_poison_held_us(r->k, POISON), 0);
+		CU_ASSERT_EQUAL(mh_poison_quarantine_us(r->k, POISON), 0);
 		if (i == 1)
 			break_call(r, ids[i], POISON);
 		else
 			break_call_late(r, ids[i], POISON);
 		advance(r, 400 * MS);
 	}
-	CU_ASSERT(mh_poison_held_us(r->k, POISON) > 0);
+	CU_ASSERT(mh_poison_quarantine_us(r->k, POISON) > 0);
 	prig_destroy(r);
 }
 
@@ -161,10 +161,10 @@
 		break_call_late(r, ids[i], POISON);
 		advance(r, 400 * MS);
 	}
-	CU_ASSERT_EQUAL(mh_poison_held_us(r->k, POISON), 0);
+	CU_ASSERT_EQUAL(mh_poison_quarantine_us(r->k, POISON), 0);
 	break_call_late(r, "d", POISON);
 	advance(r, 400 * MS);
-	CU_ASSERT(mh_poison_held_us(r->k, POISON) > 0);
+	CU_ASSERT(mh_poison_quarantine_us(r->k, POISON) > 0);
 	prig_destroy(r);
 }
 
@@ -180,7 +180,7 @@
 	json_t *state;
 
 	crash_three(r, POISON);
-	CU_ASSERT(mh_poison_held_us(r->k, POISON) > 290 * S);
+	CU_ASSERT(mh_poison_quarantine_us(r->k, POISON) > 290 * S);
 	state = mh_poison_state(r->k);
 	CU_ASSERT_EQUAL(json_array_size(state), 1);
 	CU_ASSERT_STRING_EQUAL(json_string_value(json_object_get(
@@ -188,13 +188,13 @@
 	    "0000000000000007");
 	json_decref(state);
 	advance(r, 310 * S);
-	CU_ASSERT_EQUAL(mh_poison_held_us(r->k, POISON), 0);
-	CU_ASSERT(mh_poison_apart(r->k, POISON, "pool") != 0);
+	CU_ASSERT_EQUAL(mh_poison_quarantine_us(r->k, POISON), 0);
+	CU_ASSERT(mh_poison_isolation_hash(r->k, POISON, "pool") != 0);
 	break_call(r, "later", POISON);
 	advance(r, 400 * MS);
-	CU_ASSERT(mh_poison_held_us(r->k, POISON) > 590 * S);
+	CU_ASSERT(mh_poison_quarantine_us(r->k, POISON) > 590 * S);
 	advance(r, 4300 * S);
-	CU_ASSERT_EQUAL(mh_poison_apart(r->k, POISON, "pool"), 0);
+	CU_ASSERT_EQUAL(mh_poison_isolation_hash(r->k, POISON, "pool"), 0);
 	CU_ASSERT_EQUAL(all_bytes(r), 0);
 	prig_destroy(r);
 }
@@ -207,10 +207,10 @@
 
 	crash_three(r, POISON);
 	advance(r, 310 * S);
-	mh_poison_ran(r->k, POISON, "pool");
+	mh_poison_completed(r->k, POISON, "pool");
 	break_call(r, "later", POISON);
 	advance(r, 400 * MS);
-	CU_ASSERT_EQUAL(mh_poison_held_us(r->k, POISON), 0);
+	CU_ASSERT_EQUAL(mh_poison_quarantine_us(r->k, POISON), 0);
 	prig_destroy(r);
 }
 
@@ -229,7 +229,7 @@
 		break_call(r, id, 100 + i);
 		advance(r, 10 * S);
 	}
-	CU_ASSERT(mh_poison_held_us(r->k, POISON) > 0);
+	CU_ASSERT(mh_poison_quarantine_us(r->k, POISON) > 0);
 	prig_destroy(r);
 }
 
@@ -241,13 +241,13 @@
 
 	break_call(r, "a", POISON);
 	advance(r, 400 * MS);
-	mh_poison_ran(r->k, POISON, "stage");
+	mh_poison_completed(r->k, POISON, "stage");
 	break_call(r, "b", POISON);
 	advance(r, 400 * MS);
-	mh_poison_ran(r->k, POISON, "stage");
+	mh_poison_completed(r->k, POISON, "stage");
 	break_call(r, "c", POISON);
 	advance(r, 400 * MS);
-	CU_ASSERT(mh_poison_held_us(r->k, POISON) > 0);
+	CU_ASSERT(mh_poison_quarantine_us(r->k, POISON) > 0);
 	prig_destroy(r);
 }
 
@@ -269,14 +269,14 @@
 		else
 			mh_poison_answered(r->k, ids[i], 0, false);
 	}
-	CU_ASSERT_EQUAL(mh_poison_held_us(r->k, POISON), 0);
-	CU_ASSERT_EQUAL(mh_poison_apart(r->k, POISON, "pool"), 0);
+	CU_ASSERT_EQUAL(mh_poison_quarantine_us(r->k, POISON), 0);
+	CU_ASSERT_EQUAL(mh_poison_isolation_hash(r->k, POISON, "pool"), 0);
 	crash_three(r, POISON);
-	CU_ASSERT(mh_poison_held_us(r->k, POISON) > 0);
+	CU_ASSERT(mh_poison_quarantine_us(r->k, POISON) > 0);
 	/* The last one is disproved. */
 	advance(r, 400 * MS);
 	mh_poison_answered(r->k, "7-2", 0, false);
-	CU_ASSERT_EQUAL(mh_poison_held_us(r->k, POISON), 0);
+	CU_ASSERT_EQUAL(mh_poison_quarantine_us(r->k, POISON), 0);
 	prig_destroy(r);
 }
 
@@ -306,16 +306,16 @@
 
 	crash_three(here, POISON);
 	mh_poison_send_all(here->k, op_deliver, paused);
-	CU_ASSERT(mh_poison_held_us(paused->k, POISON) > 0);
+	CU_ASSERT(mh_poison_quarantine_us(paused->k, POISON) > 0);
 	advance(here, 400 * MS);
 	mh_poison_answered(here->k, "7-2", 0, false);
-	CU_ASSERT_EQUAL(mh_poison_held_us(here->k, POISON), 0);
+	CU_ASSERT_EQUAL(mh_poison_quarantine_us(here->k, POISON), 0);
 	advance(here, 11 * S);
 	advance(paused, 400 * MS + 11 * S);
 	mh_poison_send_all(paused->k, op_deliver, here);
-	CU_ASSERT_EQUAL(mh_poison_held_us(here->k, POISON), 0);
+	CU_ASSERT_EQUAL(mh_poison_quarantine_us(here->k, POISON), 0);
 	mh_poison_send_all(here->k, op_deliver, paused);
-	CU_ASSERT_EQUAL(mh_poison_held_us(paused->k, POISON), 0);
+	CU_ASSERT_EQUAL(mh_poison_quarantine_us(paused->k, POISON), 0);
 	/* New crashes quarantine it again. */
 	for (int i = 3; i < 7; i++) {
 		char id[16];
@@ -324,7 +324,7 @@
 		break_call(here, id, POISON);
 		advance(here, 400 * MS);
 	}
-	CU_ASSERT(mh_poison_held_us(here->k, POISON) > 0);
+	CU_ASSERT(mh_poison_quarantine_us(here->k, POISON) > 0);
 	prig_destroy(paused);
 	prig_destroy(here);
 }
@@ -343,7 +343,7 @@
 		g_snprintf(id, sizeof(id), "%d-%d", POISON, i);
 		mh_poison_answered(r->k, id, r->now_us, false);
 	}
-	CU_ASSERT(mh_poison_held_us(r->k, POISON) > 0);
+	CU_ASSERT(mh_poison_quarantine_us(r->k, POISON) > 0);
 	prig_destroy(r);
 }
 
@@ -398,10 +398,10 @@
 
 		body[0] = (uint8_t)i;
 		fingerprint = mh_hash(body, 16384);
-		sum += (uint64_t)mh_poison_held_us(r->k, fingerprint);
-		sum += mh_poison_apart(r->k, fingerprint, "pool");
+		sum += (uint64_t)mh_poison_quarantine_us(r->k, fingerprint);
+		sum += mh_poison_isolation_hash(r->k, fingerprint, "pool");
 		mh_poison_answered(r->k, "other", 0, false);
-		mh_poison_ran(r->k, fingerprint, "pool");
+		mh_poison_completed(r->k, fingerprint, "pool");
 	}
 	(void)clock_gettime(CLOCK_PROCESS_CPUTIME_ID, &b);
 	us = ((double)(b.tv_sec - a.tv_sec) * 1e9 +
@@ -440,9 +440,9 @@
 	mh_poison_receive(r->k, &m, true);
 	advance(r, S);
 	/* At most the longest quarantine that we impose ourselves. */
-	CU_ASSERT(mh_poison_held_us(r->k, POISON) <= 4800 * S);
+	CU_ASSERT(mh_poison_quarantine_us(r->k, POISON) <= 4800 * S);
 	advance(r, 4800 * S);
-	CU_ASSERT_EQUAL(mh_poison_held_us(r->k, POISON), 0);
+	CU_ASSERT_EQUAL(mh_poison_quarantine_us(r->k, POISON), 0);
 	prig_destroy(r);
 }
 
