--- a/lib/hub.c
+++ b/lib/hub.c
@@ -1,6 +1,8 @@
 /**
- * DOC: Where the link service delivers: unpacks each frame once, notes the
- * progress and the generation it shows, and hands it to its handler.
+ * DOC: Frame dispatcher: service "hub", which the link service posts to.
+ *
+ * Unpacks each frame once, records the progress of its link and the
+ * configuration generation of its sender, and calls the handler for its kind.
  */
 
 #include "marlhoist.h"
@@ -12,7 +14,7 @@
 	struct {
 		mh_frame_fn fn;
 		void *arg;
-	} on[MAX_CASES];
+	} handlers[MAX_CASES];
 };
 
 static void
@@ -25,16 +27,16 @@
 	if (f == NULL || (unsigned)f->body_case >= MAX_CASES) {
 		mh_count(h->k, "link_malformed", 1);
 		mh_log(h->k, "hub",
-		    "Malformed frame on conn=%" PRIu64 "; link closed.",
-		    l->conn);
+		    "Malformed frame, link closed: conn=%" PRIu64 ".", l->conn);
 		mh_link_close(h->k, l->conn);
 		mh_frame_free(f);
 		return;
 	}
 	mh_member_rx(h->k, l->conn, f);
 	mh_conf_see(h->k, l->conn, f->generation);
-	if (h->on[f->body_case].fn != NULL)
-		h->on[f->body_case].fn(h->on[f->body_case].arg, l->conn, f);
+	if (h->handlers[f->body_case].fn != NULL)
+		h->handlers[f->body_case].fn(
+		    h->handlers[f->body_case].arg, l->conn, f);
 	mh_frame_free(f);
 }
 
@@ -51,7 +53,7 @@
 	case MH_MSG_LINK_DOWN:
 		mh_member_link(h->k, m);
 		break;
-	case MH_MSG_LINK_HEARD: /* only an answered ping counts there */
+	case MH_MSG_LINK_HEARD: /* progress is proved by pongs only */
 		break;
 	default:
 		mh_count(h->k, "hub_unexpected", 1);
@@ -74,6 +76,6 @@
 {
 	struct hub *h = mh_kern_get(k, "hub");
 
-	h->on[kind].fn = fn;
-	h->on[kind].arg = arg;
+	h->handlers[kind].fn = fn;
+	h->handlers[kind].arg = arg;
 }
--- a/lib/link.c
+++ b/lib/link.c
@@ -1,10 +1,10 @@
 /**
- * DOC: Framed TCP between our processes: service "link".
+ * DOC: Framed TCP links between marlhoist processes: service "link".
  *
- * Both ends send a hello with a nonce; each proves the shared secret by a
- * MAC over both nonces and its own place before any other frame passes.
- * Everything that a peer controls has a bound: frame size, hello time, the
- * bytes waiting to be sent.
+ * Each side sends a hello with a nonce, then proves that it has the shared
+ * secret by a MAC over both nonces, its direction and its VM name.  No other
+ * frame is accepted before that.  Everything that a peer controls is bounded:
+ * frame size, duration of the handshake, bytes queued for sending.
  */
 
 #include "marlhoist.h"
@@ -17,11 +17,11 @@
 #define VERSION 1
 #define NONCE_LEN 16
 #define LEN_BYTES 4
-#define MAX_OUT (16U << 20)
+#define MAX_OUT_BYTES (16U << 20)
 #define READ_SIZE 65536
-/* Smaller ones are whole within milliseconds, over any link that is used. */
-#define LARGE_FRAME 8192
-#define HANDSHAKE_US (2 * MH_US_PER_S)
+/* Smaller frames arrive whole within milliseconds on any link in use. */
+#define LARGE_FRAME_BYTES 8192
+#define HANDSHAKE_TIMEOUT_US (2 * MH_US_PER_S)
 #define BACKLOG 1024
 
 struct conn {
@@ -32,9 +32,9 @@
 	int fd;
 	bool dialer;
 	bool connected;
-	bool up;
-	bool dirty; /* waits for a flush */
-	bool dead;
+	bool up; /* the handshake is done */
+	bool flush_pending; /* in flush_queue */
+	bool overflowed; /* output queue over MAX_OUT_BYTES; to be closed */
 	uint8_t nonce[NONCE_LEN];
 	Mh__Frame *hello; /* the peer's */
 	GByteArray *in;
@@ -57,7 +57,7 @@
 	int listen_fd;
 	uint16_t port;
 	GHashTable *conns; /* id -> struct conn */
-	GPtrArray *dirty;
+	GPtrArray *flush_queue; /* struct conn with output to flush */
 };
 
 static void on_io(void *arg, bool readable, bool writable);
@@ -69,7 +69,7 @@
 
 	mh_timer_stop(l->k, &c->timer);
 	mh_loop_fd_close(l->loop, c->fd);
-	g_ptr_array_remove(l->dirty, c);
+	g_ptr_array_remove(l->flush_queue, c);
 	g_hash_table_remove(l->conns, &c->id);
 	mh_frame_free(c->hello);
 	g_byte_array_unref(c->in);
@@ -79,7 +79,7 @@
 }
 
 static void
-tell_down(struct link *l, uint64_t id)
+post_link_down(struct link *l, uint64_t id)
 {
 	struct mh_msg *m = mh_msg_new(MH_MSG_LINK_DOWN);
 
@@ -92,11 +92,11 @@
 {
 	struct link *l = c->l;
 	uint64_t id = c->id;
-	bool known = c->up || c->dialer;
+	bool report = c->up || c->dialer;
 
 	free_conn(c);
-	if (known)
-		tell_down(l, id);
+	if (report)
+		post_link_down(l, id);
 }
 
 static void
@@ -109,8 +109,8 @@
 static bool
 flush_out(struct conn *c)
 {
-	c->dirty = false;
-	if (c->dead)
+	c->flush_pending = false;
+	if (c->overflowed)
 		return false;
 	while (c->out->len > 0) {
 		apr_size_t n = c->out->len;
@@ -128,14 +128,15 @@
 	return true;
 }
 
-/* Frames of one turn leave in one write. */
+/* Runs before each wait: frames queued in one loop turn leave in one write. */
 static int64_t
 flush_all(void *arg)
 {
 	struct link *l = arg;
 
-	while (l->dirty->len > 0) {
-		struct conn *c = g_ptr_array_steal_index_fast(l->dirty, 0);
+	while (l->flush_queue->len > 0) {
+		struct conn *c =
+		    g_ptr_array_steal_index_fast(l->flush_queue, 0);
 
 		if (!flush_out(c))
 			drop(c);
@@ -144,38 +145,39 @@
 }
 
 static void
-put_frame(struct conn *c, GBytes *b)
+queue_packed(struct conn *c, GBytes *b)
 {
 	gsize len;
 	const uint8_t *data = g_bytes_get_data(b, &len);
 	uint8_t head[LEN_BYTES] = { (uint8_t)(len >> 24), (uint8_t)(len >> 16),
 		(uint8_t)(len >> 8), (uint8_t)len };
 
-	if (c->dead)
+	if (c->overflowed)
 		return;
-	if (c->out->len + len > MAX_OUT) {
+	if (c->out->len + len > MAX_OUT_BYTES) {
 		/*
-		 * A peer that reads too slowly must not eat our memory.  While
-		 * it reads nothing no I/O comes that would end the connection.
+		 * Bounds the memory that a slow reader can use.  The peer may
+		 * never become readable or writable again, so the connection
+		 * is queued for a flush, which closes it.
 		 */
 		mh_count(c->l->k, "link_overflows", 1);
-		c->dead = true;
+		c->overflowed = true;
 	} else {
 		g_byte_array_append(c->out, head, sizeof(head));
 		g_byte_array_append(c->out, data, (guint)len);
 	}
-	if (!c->dirty && c->connected) {
-		c->dirty = true;
-		g_ptr_array_add(c->l->dirty, c);
+	if (!c->flush_pending && c->connected) {
+		c->flush_pending = true;
+		g_ptr_array_add(c->l->flush_queue, c);
 	}
 }
 
 static void
-put(struct conn *c, const Mh__Frame *f)
+queue_frame(struct conn *c, const Mh__Frame *f)
 {
 	GBytes *b = mh_frame_pack(f);
 
-	put_frame(c, b);
+	queue_packed(c, b);
 	g_bytes_unref(b);
 }
 
@@ -198,13 +200,16 @@
 	h.nonce.len = sizeof(c->nonce);
 	f.body_case = MH__FRAME__BODY_HELLO;
 	f.hello = &h;
-	put(c, &f);
+	queue_frame(c, &f);
 }
 
-/* The dialer's byte and name stop a MAC from being played back. */
+/*
+ * The MAC covers the direction and the sender's VM name, so that it can
+ * neither be reflected to its sender nor be used under another name.
+ */
 static void
-make_mac(struct link *l, bool by_dialer, const char *vm, const uint8_t *first,
-    const uint8_t *second, uint8_t mac[crypto_auth_BYTES])
+compute_mac(struct link *l, bool by_dialer, const char *vm,
+    const uint8_t *first, const uint8_t *second, uint8_t mac[crypto_auth_BYTES])
 {
 	GByteArray *a = g_byte_array_new();
 	uint8_t dir = by_dialer;
@@ -218,7 +223,7 @@
 }
 
 static bool
-take_hello(struct conn *c, Mh__Frame *f)
+handle_hello(struct conn *c, Mh__Frame *f)
 {
 	struct link *l = c->l;
 	Mh__Frame out = MH__FRAME__INIT;
@@ -231,17 +236,17 @@
 		return false;
 	}
 	c->hello = f;
-	make_mac(l, c->dialer, l->vm, f->hello->nonce.data, c->nonce, mac);
+	compute_mac(l, c->dialer, l->vm, f->hello->nonce.data, c->nonce, mac);
 	auth.mac.data = mac;
 	auth.mac.len = sizeof(mac);
 	out.body_case = MH__FRAME__BODY_AUTH;
 	out.auth = &auth;
-	put(c, &out);
+	queue_frame(c, &out);
 	return true;
 }
 
 static void
-tell_up(struct conn *c)
+post_link_up(struct conn *c)
 {
 	struct mh_msg *m = mh_msg_new(MH_MSG_LINK_UP);
 	const Mh__Hello *h = c->hello->hello;
@@ -260,27 +265,27 @@
 }
 
 static bool
-take_auth(struct conn *c, const Mh__Frame *f)
+handle_auth(struct conn *c, const Mh__Frame *f)
 {
 	uint8_t mac[crypto_auth_BYTES];
 
 	if (c->hello == NULL || f->auth->mac.len != sizeof(mac))
 		return false;
-	make_mac(c->l, !c->dialer, c->hello->hello->vm, c->nonce,
+	compute_mac(c->l, !c->dialer, c->hello->hello->vm, c->nonce,
 	    c->hello->hello->nonce.data, mac);
 	if (sodium_memcmp(mac, f->auth->mac.data, sizeof(mac)) != 0) {
 		mh_count(c->l->k, "link_refused", 1);
 		mh_log(c->l->k, "link",
-		    "Peer without the secret refused: vm=%s.",
+		    "Refused a peer whose MAC does not verify: vm=%s.",
 		    c->hello->hello->vm);
 		return false;
 	}
-	tell_up(c);
+	post_link_up(c);
 	return true;
 }
 
 static bool
-take_handshake(struct conn *c, GBytes *b)
+handle_handshake(struct conn *c, GBytes *b)
 {
 	Mh__Frame *f = mh_frame_unpack(b);
 	bool ok = false;
@@ -288,9 +293,9 @@
 	if (f == NULL)
 		return false;
 	if (f->body_case == MH__FRAME__BODY_HELLO)
-		return take_hello(c, f);
+		return handle_hello(c, f);
 	if (f->body_case == MH__FRAME__BODY_AUTH)
-		ok = take_auth(c, f);
+		ok = handle_auth(c, f);
 	mh_frame_free(f);
 	return ok;
 }
@@ -303,7 +308,7 @@
 	bool ok;
 
 	if (!c->up) {
-		ok = take_handshake(c, b);
+		ok = handle_handshake(c, b);
 		g_bytes_unref(b);
 		return ok;
 	}
@@ -315,7 +320,7 @@
 }
 
 static void
-tell_heard(struct conn *c)
+post_rx_progress(struct conn *c)
 {
 	struct mh_msg *m = mh_msg_new(MH_MSG_LINK_HEARD);
 
@@ -323,7 +328,7 @@
 	mh_post(c->l->k, "hub", m);
 }
 
-/* Of the frame that begins at @at; 0: not even that has come. */
+/* Length of the frame that starts at @at; 0 if the header is incomplete. */
 static uint32_t
 frame_len(const GByteArray *in, size_t at)
 {
@@ -336,7 +341,7 @@
 }
 
 static bool
-take_input(struct conn *c)
+process_input(struct conn *c)
 {
 	size_t at = 0;
 	bool ok = true;
@@ -354,8 +359,8 @@
 	}
 	if (at > 0)
 		g_byte_array_remove_range(c->in, 0, (guint)at);
-	if (ok && c->up && frame_len(c->in, 0) >= LARGE_FRAME)
-		tell_heard(c);
+	if (ok && c->up && frame_len(c->in, 0) >= LARGE_FRAME_BYTES)
+		post_rx_progress(c);
 	return ok;
 }
 
@@ -368,7 +373,7 @@
 
 	if (n > 0) {
 		g_byte_array_append(c->in, (uint8_t *)buf, (guint)n);
-		return take_input(c);
+		return process_input(c);
 	}
 	return APR_STATUS_IS_EAGAIN(rv);
 }
@@ -383,7 +388,7 @@
 		writable = true;
 	}
 	if ((readable && c->connected && !read_input(c)) ||
-	    (readable && !c->connected) || c->dead) {
+	    (readable && !c->connected) || c->overflowed) {
 		drop(c);
 		return;
 	}
@@ -417,7 +422,7 @@
 	apr_socket_opt_set(sock, APR_SO_NONBLOCK, 1);
 	apr_socket_timeout_set(sock, 0);
 	apr_socket_opt_set(sock, APR_TCP_NODELAY, 1);
-	c->timer = mh_timer_start(l->k, HANDSHAKE_US, on_late, c);
+	c->timer = mh_timer_start(l->k, HANDSHAKE_TIMEOUT_US, on_late, c);
 	g_hash_table_insert(l->conns, &c->id, c);
 	return c;
 }
@@ -447,7 +452,7 @@
 	    apr_socket_create(&sock, APR_INET, SOCK_STREAM, APR_PROTO_TCP,
 		pool) != APR_SUCCESS) {
 		apr_pool_destroy(pool);
-		tell_down(l, id);
+		post_link_down(l, id);
 		return;
 	}
 	c = new_conn(l, id, sock, pool);
@@ -494,7 +499,7 @@
 		break;
 	case MH_MSG_LINK_SEND:
 		if (c != NULL && c->up)
-			put_frame(c, m->u.link.frame);
+			queue_packed(c, m->u.link.frame);
 		else
 			mh_count(l->k, "link_unsent", 1);
 		break;
@@ -521,7 +526,7 @@
 	}
 	g_list_free(all);
 	g_hash_table_destroy(l->conns);
-	g_ptr_array_free(l->dirty, TRUE);
+	g_ptr_array_free(l->flush_queue, TRUE);
 	if (l->listener != NULL)
 		mh_loop_fd_close(l->loop, l->listen_fd);
 	apr_pool_destroy(l->pool);
@@ -583,7 +588,7 @@
 	l->pool_name = g_strdup(a->pool != NULL ? a->pool : "");
 	l->incarnation = a->incarnation;
 	l->conns = g_hash_table_new(g_int64_hash, g_int64_equal);
-	l->dirty = g_ptr_array_new();
+	l->flush_queue = g_ptr_array_new();
 	apr_pool_create(&l->pool, NULL);
 	crypto_generichash(l->key, sizeof(l->key),
 	    (const unsigned char *)a->secret, strlen(a->secret), NULL, 0);
--- a/lib/marlhoist.h
+++ b/lib/marlhoist.h
@@ -255,12 +255,12 @@
 
 /* wire.c */
 
-/** mh_frame_pack() - packs one frame (without the length). */
+/** mh_frame_pack() - packs one frame, without the length; caller unrefs. */
 GBytes *mh_frame_pack(const Mh__Frame *f);
 /** mh_frame_unpack() - NULL when malformed; free with mh_frame_free(). */
 Mh__Frame *mh_frame_unpack(GBytes *b);
 void mh_frame_free(Mh__Frame *f);
-/** mh_frame_send() - stamps, packs and posts a frame to the link service. */
+/** mh_frame_send() - sets the generation of @f and posts it to "link". */
 void mh_frame_send(struct mh_kern *k, uint64_t conn, Mh__Frame *f);
 void mh_link_dial(struct mh_kern *k, uint64_t conn, const char *addr);
 void mh_link_close(struct mh_kern *k, uint64_t conn);
@@ -463,12 +463,12 @@
 bool mh_yaml_read(
     GBytes *doc, const struct mh_table *table, void *out, GError **err);
 
-/* hub.c: service "hub", where link delivers */
+/* hub.c: service "hub", the frame dispatcher */
 
 typedef void (*mh_frame_fn)(void *arg, uint64_t conn, const Mh__Frame *f);
 
 void mh_hub_create(struct mh_kern *k);
-/** mh_hub_on() - frames of one kind go to @fn. */
+/** mh_hub_on() - sets the only handler of the frames of one kind. */
 void mh_hub_on(
     struct mh_kern *k, Mh__Frame__BodyCase kind, mh_frame_fn fn, void *arg);
 
@@ -525,132 +525,146 @@
 
 /* member.c: service "member" */
 
-/** struct mh_peer - a process of ours that this one knows. */
+/** struct mh_peer - another marlhoist process, as tracked by this one. */
 struct mh_peer {
 	char *vm;
 	char *addr;
 	char *role;
 	char *pool;
 	char *domain;
-	bool listed; /* in the newest list */
-	bool list_leaving;
-	bool draining; /* said so itself */
-	int64_t absent_since_us; /* 0: listed */
+	bool listed; /* on the newest VM list */
+	bool list_leaving; /* draining by the VM list */
+	bool draining; /* by its own report */
+	int64_t absent_since_us; /* left the VM list, 0: listed */
 	/* link */
 	uint64_t conn; /* the link in use, 0 for none */
-	bool conn_ours; /* this process dialed it */
-	uint64_t dial; /* a link being opened */
+	bool conn_ours; /* dialed by this process */
+	uint64_t dial; /* the link being opened, 0: none */
 	bool up;
 	uint64_t incarnation;
 	int64_t last_rx_us;
-	int64_t ping_at_us; /* the ping not answered yet, 0: none */
-	int64_t pong_at_us; /* last proof that both directions work */
+	int64_t ping_at_us; /* the ping without a pong yet, 0: none */
+	int64_t pong_at_us; /* when both directions last worked */
 	int64_t dialed_us;
-	int64_t up_since_us;
+	int64_t up_since_us; /* when this incarnation was first linked */
 	uint32_t dial_failures;
-	/* load, kept by route.c */
-	uint32_t own; /* calls of this process under way there */
+	/* load, maintained by route.c */
+	uint32_t own; /* calls of this process in flight there */
 	uint32_t load_running;
 	uint32_t load_queued;
 	uint32_t load_slots;
-	uint32_t load_own; /* own when the load was reported */
+	uint32_t load_own; /* own_calls when the load was reported */
 	uint64_t load_wait_us[MH_PRIORITIES];
 	int64_t load_at_us;
-	int64_t sent_us; /* our last call there; 0: none */
-	double ewma_us; /* endpoint time of one call */
-	uint32_t fails; /* in a row */
+	int64_t sent_us; /* last call of this process, 0: none */
+	double ewma_us; /* smoothed endpoint time of one call */
+	uint32_t fails; /* failed calls in a row */
 	int64_t eject_until_us;
 	int64_t eject_for_us;
-	bool wanted; /* in this process's subset */
-	bool kept; /* asked for by mh_member_dial() */
-	uint64_t generation; /* newest configuration it showed */
-	void *calls; /* relay.c's open calls there */
+	bool wanted; /* see mh_subset_choose() */
+	bool kept; /* set by mh_member_dial() */
+	uint64_t generation; /* newest configuration seen in its frames */
+	void *calls; /* open calls there, owned by relay.c */
 };
 
 typedef void (*mh_peer_fn)(void *arg, struct mh_peer *p);
 
 void mh_member_create(
     struct mh_kern *k, const char *vm, const char *domain, const char *role);
-/** mh_member_pool() - all known peers of a pool (struct mh_peer). */
+/** mh_member_pool() - all tracked peers of a pool (struct mh_peer). */
 GPtrArray *mh_member_pool(struct mh_kern *k, const char *pool);
 struct mh_peer *mh_member_find(struct mh_kern *k, const char *vm);
 struct mh_peer *mh_member_conn(struct mh_kern *k, uint64_t conn);
-/** mh_member_each() - calls @fn for every known peer. */
+/** mh_member_foreach() - calls @fn for every tracked peer. */
 void mh_member_each(struct mh_kern *k, mh_peer_fn fn, void *arg);
-/** mh_member_usable() - up, in the subset, not leaving. */
+/**
+ * mh_member_usable() - whether @p takes new calls: linked, in the subset, not
+ * draining, not off the VM list for long, its failure domain not evacuated.
+ */
 bool mh_member_usable(struct mh_kern *k, const struct mh_peer *p);
-/** mh_member_list() - the VM list holds @vm, as it says now. */
+/** mh_member_vm_listed() - @vm is on the VM list or its row changed. */
 void mh_member_list(struct mh_kern *k, const struct mh_vm *vm);
-/** mh_member_unlist() - the VM list does not hold it any more. */
+/** mh_member_vm_unlisted() - @vm is no longer on the VM list. */
 void mh_member_unlist(struct mh_kern *k, const char *vm);
-/** mh_member_refresh() - the list changed: choose the links anew. */
+/** mh_member_refresh() - chooses the links again after a list change. */
 void mh_member_refresh(struct mh_kern *k);
 uint32_t mh_member_links(struct mh_kern *k);
 bool mh_member_draining(struct mh_kern *k);
-/** mh_member_dial() - keep a link to @p from now on. */
+/** mh_member_dial() - opens a link to @p and keeps it open from now on. */
 void mh_member_dial(struct mh_kern *k, struct mh_peer *p);
 enum mh_link_event { MH_LINK_SAME, MH_LINK_OTHER, MH_LINK_FAILED };
 typedef void (*mh_link_fn)(
     void *arg, struct mh_peer *p, enum mh_link_event ev, uint64_t conn);
 
 /**
- * mh_member_on_link() - SAME: a link to the same incarnation is up, OTHER:
- * the process behind is a new one, FAILED: it cannot be reached now.
+ * mh_member_on_link() - calls @fn for every event of a link to a peer.
+ *
+ * MH_LINK_UP: a link is up; MH_LINK_UP_RESTARTED: the same, and the peer has
+ * another incarnation than on the link before; MH_LINK_FAILED: a dial failed
+ * and no link is up.  A link that the peer dialed is always MH_LINK_UP.
  */
 void mh_member_on_link(struct mh_kern *k, mh_link_fn fn, void *arg);
-/** mh_member_rx() - a frame came from @conn: progress. */
+/** mh_member_rx() - records that @f came from @conn, and its load report. */
 void mh_member_rx(struct mh_kern *k, uint64_t conn, const Mh__Frame *f);
 void mh_member_link(struct mh_kern *k, struct mh_msg *msg);
-/** mh_member_drain() - tell every linked peer that this process leaves. */
+/** mh_member_drain() - reports to every linked peer that we are draining. */
 void mh_member_drain(struct mh_kern *k);
 json_t *mh_member_state(struct mh_kern *k);
 
 /* subset.c */
 
-/** struct mh_subset_args - the entry that chooses. */
+/** struct mh_subset_args - the entry that the subset is for. */
 struct mh_subset_args {
 	const char *vm;
 	const char *domain;
 	uint32_t entries; /* listed, this one included */
 };
 
-typedef void (*mh_subset_fn)(void *arg, struct mh_peer *p, bool take);
+typedef void (*mh_subset_fn)(void *arg, struct mh_peer *p, bool link);
 
-/** mh_subset_choose() - tells @fn of each peer whether to link to it. */
+/** mh_subset_choose() - calls @fn with whether to link to each peer. */
 void mh_subset_choose(const struct mh_subset_args *a, GPtrArray *pool,
     mh_subset_fn fn, void *arg);
 
-/* roster.c: service "roster", the VM list */
+/* roster.c: service "roster", the copy of the VM list */
 
-/** mh_roster_create() - @pool: the only one to keep, NULL on an entry. */
+/** mh_roster_create() - @pool: the only pool to keep, NULL on an entry. */
 void mh_roster_create(
     struct mh_kern *k, const char *vm, const char *domain, const char *pool);
-/** mh_member_gone() - absence is longer than the list's lag explains. */
+/** mh_member_is_removed() - whether @vm left the list over @after_us ago. */
 bool mh_member_gone(struct mh_kern *k, const char *vm, int64_t after_us);
-/** mh_member_has_list() - some reading of the VM list is known. */
+/** mh_member_has_list() - whether the VM list was ever read. */
 bool mh_member_has_list(struct mh_kern *k);
-/** mh_member_dropped() - this VM was listed and is not any more. */
+/** mh_member_self_removed() - this VM was listed and no longer is. */
 bool mh_member_dropped(struct mh_kern *k);
-/** mh_member_watcher() - is this process one of its domain's watchers? */
-bool mh_member_watcher(struct mh_kern *k, const char *what);
-/** mh_member_entries() - how many entries are listed, at least one. */
+/**
+ * mh_member_is_watcher() - whether this process reads @key from the platform
+ * for its failure domain; the others get it from the watchers.
+ */
+bool mh_member_watcher(struct mh_kern *k, const char *key);
+/** mh_member_entry_count() - listed entries that serve, at least 1. */
 uint32_t mh_member_entries(struct mh_kern *k);
-/** mh_member_home() - the listed entry that rendezvous gives @what. */
-const char *mh_member_home(struct mh_kern *k, const char *what);
-/** mh_member_winner() - the listed, staying side of @pool for @what. */
+/**
+ * mh_member_pick_entry() - the entry for @key by rendezvous hashing of those
+ * listed and not draining; NULL if there is none.
+ */
+const char *mh_member_home(struct mh_kern *k, const char *key);
+/** mh_member_pick_side() - the same among the side processes of @pool. */
 const char *mh_member_winner(
-    struct mh_kern *k, const char *pool, const char *what);
+    struct mh_kern *k, const char *pool, const char *key);
 json_t *mh_roster_state(struct mh_kern *k);
 
 /* rendez.c */
 
 /**
- * mh_roster_rank() - entries that go before this one in the order of @what.
- * @entries: set to how many there are
+ * mh_roster_rank() - how many entries precede this one in the order for @key.
+ * @entries: set to the number of entries that serve, at least 1
+ *
+ * UINT32_MAX before the first reading of the VM list.
  */
-uint32_t mh_roster_rank(struct mh_kern *k, const char *what, uint32_t *entries);
-/** mh_rendezvous() - the weight of @node for @what; highest wins. */
-uint64_t mh_rendezvous(const char *what, const char *node);
+uint32_t mh_roster_rank(struct mh_kern *k, const char *key, uint32_t *entries);
+/** mh_rendezvous() - the weight of @node for @key; the highest is chosen. */
+uint64_t mh_rendezvous(const char *key, const char *node);
 uint64_t mh_hash(const void *data, size_t len);
 
 /* route.c: service "route" */
@@ -1033,7 +1047,7 @@
 
 struct mh_link_args {
 	const char *listen; /* ip:port or NULL */
-	const char *advertise; /* ip:port told to peers, NULL: listen */
+	const char *advertise; /* ip:port for peers, NULL: listen */
 	const char *vm;
 	const char *domain;
 	const char *role;
@@ -1089,7 +1103,7 @@
 void mh_vmlist_create(struct mh_kern *k, struct mh_client *c, const char *url);
 void mh_endpoint_create(
     struct mh_kern *k, struct mh_client *c, const char *url);
-/** mh_vmlist_parse() - the platform's JSON; NULL when malformed. */
+/** mh_vmlist_parse() - struct mh_vm of the JSON list; NULL: malformed. */
 GPtrArray *mh_vmlist_parse(GBytes *body);
 
 /* httpd.c: HTTP server over libmicrohttpd */
--- a/lib/member.c
+++ b/lib/member.c
@@ -1,9 +1,10 @@
 /**
- * DOC: Membership: who our peers are, from three witnesses (the VM list,
- * the peer's own words, observed progress), and the links to them.
+ * DOC: Membership: the peers of this process and the links to them.
  *
- * An entry links to a rendezvous subset of each pool; a side process links
- * only to processes it was asked for.  The list itself is in roster.c.
+ * What is recorded of a peer has three sources: the VM list (see roster.c),
+ * the peer's own reports, and whether its link makes progress.  An entry
+ * links to a subset of each pool, chosen by rendezvous hashing (subset.c); a
+ * side process dials only peers that mh_member_dial() was called for.
  */
 
 #include "marlhoist.h"
@@ -11,14 +12,14 @@
 #include <string.h>
 
 #define TICK_US (50 * MH_US_PER_MS)
-#define ABSENT_US (2 * MH_US_PER_S) /* absence that stops new work */
-#define FORGET_US (120 * MH_US_PER_S)
-#define BUSY_PING_US (100 * MH_US_PER_MS)
-#define FLOW_PING_US (1 * MH_US_PER_S) /* while chunks come in */
+#define ABSENT_GRACE_US (2 * MH_US_PER_S) /* off the list: no new calls */
+#define PEER_KEEP_US (120 * MH_US_PER_S) /* off the list: freed */
+#define BUSY_PING_US (100 * MH_US_PER_MS) /* calls open, nothing comes in */
+#define FLOW_PING_US (1 * MH_US_PER_S) /* while frames come in */
 #define IDLE_PING_US (1 * MH_US_PER_S)
 #define IDLE_PING_PER_LINK_US (50 * MH_US_PER_MS)
-#define SILENT_US (200 * MH_US_PER_MS)
-#define DIAL_US (300 * MH_US_PER_MS) /* a dial that takes longer failed */
+#define PING_TIMEOUT_US (200 * MH_US_PER_MS)
+#define DIAL_TIMEOUT_US (300 * MH_US_PER_MS) /* the handshake included */
 #define REDIAL_MIN_US (100 * MH_US_PER_MS)
 #define REDIAL_MAX_US (2 * MH_US_PER_S)
 
@@ -31,13 +32,13 @@
 	struct mh_kern *k;
 	char *vm;
 	char *domain;
-	bool entry;
+	bool entry; /* an entry, not a side process */
 	GHashTable *peers; /* vm -> struct mh_peer */
 	GHashTable *conns; /* conn -> struct mh_peer */
 	GHashTable *pools; /* name -> GPtrArray of struct mh_peer */
 	GArray *listeners;
 	bool draining;
-	uint32_t links;
+	uint32_t links; /* that are up */
 	struct mh_timer *tick;
 };
 
@@ -136,20 +137,20 @@
 }
 
 static bool
-leaving(const struct mh_peer *p)
+is_draining(const struct mh_peer *p)
 {
 	return p->draining || p->list_leaving;
 }
 
 static bool
-absent(struct member *mb, const struct mh_peer *p)
+is_absent(struct member *mb, const struct mh_peer *p)
 {
 	return p->absent_since_us > 0 &&
-	    mh_now(mb->k) - p->absent_since_us > ABSENT_US;
+	    mh_now(mb->k) - p->absent_since_us > ABSENT_GRACE_US;
 }
 
 static bool
-evacuated(struct mh_kern *k, const struct mh_peer *p)
+domain_evacuated(struct mh_kern *k, const struct mh_peer *p)
 {
 	const struct mh_decl *d = mh_conf_get(k);
 
@@ -159,8 +160,8 @@
 bool
 mh_member_usable(struct mh_kern *k, const struct mh_peer *p)
 {
-	return p->up && p->wanted && !leaving(p) && !absent(get(k), p) &&
-	    !evacuated(k, p);
+	return p->up && p->wanted && !is_draining(p) && !is_absent(get(k), p) &&
+	    !domain_evacuated(k, p);
 }
 
 void
@@ -172,7 +173,8 @@
 }
 
 static void
-tell(struct member *mb, struct mh_peer *p, enum mh_link_event ev, uint64_t conn)
+notify(
+    struct member *mb, struct mh_peer *p, enum mh_link_event ev, uint64_t conn)
 {
 	for (guint i = 0; i < mb->listeners->len; i++) {
 		struct listener *l =
@@ -224,14 +226,14 @@
 	p->dial = 0;
 	if (p->dial_failures < 16)
 		p->dial_failures++;
-	/* A silent link that cannot be replaced is of no use either. */
+	/* Close a link that answers no ping and could not be replaced. */
 	if (p->up && p->ping_at_us > 0) {
 		drop_conn(mb, p->conn);
 		p->conn = 0;
 		p->up = false;
 	}
 	if (!p->up)
-		tell(mb, p, MH_LINK_FAILED, 0);
+		notify(mb, p, MH_LINK_FAILED, 0);
 }
 
 static void
@@ -241,8 +243,8 @@
 	uint64_t old = p->conn, old_inc = p->incarnation;
 
 	/*
-	 * An IP number is reused: another VM answers at the old address.
-	 * The hello names the VM, so a call never reaches a stranger.
+	 * The address of a removed VM may have been given to another VM.
+	 * The hello names the VM, so no call is sent to the wrong one.
 	 */
 	if (strcmp(l->vm, p->vm) != 0) {
 		mh_count(mb->k, "member_wrong_vm", 1);
@@ -262,14 +264,14 @@
 		p->fails = 0;
 	}
 	/*
-	 * Only a link of our own is replaced.  The peer's link to us is the
-	 * peer's to close: two processes that dial each other would else
-	 * close each other's links for ever.
+	 * Close the old link only if this process dialed it.  A link that
+	 * the peer dialed is closed by the peer; otherwise two processes that
+	 * dial each other would close each other's links for ever.
 	 */
 	if (old != 0 && old != l->conn && p->conn_ours)
 		drop_conn(mb, old);
 	p->conn_ours = true;
-	tell(mb, p,
+	notify(mb, p,
 	    old_inc == 0 || old_inc == l->incarnation ? MH_LINK_SAME
 						      : MH_LINK_OTHER,
 	    l->conn);
@@ -295,7 +297,7 @@
 		p->incarnation = l->incarnation;
 	}
 	p->last_rx_us = mh_now(mb->k);
-	tell(mb, p, MH_LINK_SAME, l->conn);
+	notify(mb, p, MH_LINK_SAME, l->conn);
 }
 
 static void
@@ -316,7 +318,7 @@
 		return;
 	p->conn = 0;
 	p->up = false;
-	/* Try at once: a cut link to a live process resumes in a round trip. */
+	/* Dial at once: if the peer runs, calls resume in a round trip. */
 	if ((p->wanted || p->kept) && p->dial == 0 &&
 	    mh_now(mb->k) - p->dialed_us > REDIAL_MIN_US)
 		dial(mb, p);
@@ -386,11 +388,11 @@
 }
 
 /*
- * A link may go silent for good with no error from TCP: something between
- * the ends lost track of it, maybe in one direction only.  Frames that come
- * in prove nothing about those that go out, so only the answer to a ping
- * counts.  None for SILENT_US: a second link is opened and the calls resume
- * there by id, so nothing is run again and nothing is lost.
+ * A TCP connection can stop passing data without an error, also in one
+ * direction only, if a device on the path drops its state.  Incoming frames
+ * do not prove that outgoing ones arrive, so only the pong to a ping counts.
+ * Without one for PING_TIMEOUT_US a second link is opened.  Open calls resume
+ * there by id, so that none is lost or run twice.
  */
 static void
 check_link(struct member *mb, struct mh_peer *p)
@@ -400,30 +402,31 @@
 			send_ping(mb, p);
 		return;
 	}
-	if (mh_now(mb->k) - p->ping_at_us <= SILENT_US || p->dial != 0)
+	if (mh_now(mb->k) - p->ping_at_us <= PING_TIMEOUT_US || p->dial != 0)
 		return;
 	mh_count(mb->k, "member_silent_links", 1);
-	mh_log(mb->k, "member", "Link silent: vm=%s; dialing again.", p->vm);
+	mh_log(mb->k, "member", "No pong on the link, dialing again: vm=%s.",
+	    p->vm);
 	dial(mb, p);
 }
 
 static int64_t
-redial_after(struct member *mb, const struct mh_peer *p)
+redial_delay_us(struct member *mb, const struct mh_peer *p)
 {
-	int64_t longest =
+	int64_t max_us =
 	    MIN(REDIAL_MIN_US << MIN(p->dial_failures, 5U), REDIAL_MAX_US);
-	int64_t half = longest / 2;
+	int64_t half_us = max_us / 2;
 
-	return half + (int64_t)(mh_random_unit(mb->k) * (double)half);
+	return half_us + (int64_t)(mh_random_unit(mb->k) * (double)half_us);
 }
 
 static void
-tend_peer(void *arg, struct mh_peer *p)
+maintain_peer(void *arg, struct mh_peer *p)
 {
 	struct member *mb = arg;
 	int64_t now = mh_now(mb->k);
 
-	if (p->dial != 0 && now - p->dialed_us > DIAL_US) {
+	if (p->dial != 0 && now - p->dialed_us > DIAL_TIMEOUT_US) {
 		dial_failed(mb, p);
 		return;
 	}
@@ -432,10 +435,11 @@
 	if (p->up)
 		check_link(mb, p);
 	else if (p->dial == 0 && p->listed &&
-	    now - p->dialed_us > redial_after(mb, p))
+	    now - p->dialed_us > redial_delay_us(mb, p))
 		dial(mb, p);
 }
 
+/* Applies the choice of the subset: opens or closes the link to @p. */
 static void
 want(void *arg, struct mh_peer *p, bool wanted)
 {
@@ -444,7 +448,7 @@
 	p->wanted = wanted;
 	if (wanted && !p->up && p->dial == 0 && p->listed)
 		dial(mb, p);
-	/* Never cut a link that still carries calls. */
+	/* Never close a link that still carries calls. */
 	if (!wanted && !p->kept && p->up && p->own == 0) {
 		drop_conn(mb, p->conn);
 		p->conn = 0;
@@ -485,18 +489,18 @@
 		return;
 	p->listed = false;
 	p->absent_since_us = MAX(mh_now(k), 1);
-	mh_log(k, "member", "VM left the list: vm=%s.", vm);
+	mh_log(k, "member", "VM is no longer on the VM list: vm=%s.", vm);
 }
 
 static gboolean
-is_peers(gpointer key, gpointer value, gpointer peer)
+is_conn_of(gpointer key, gpointer value, gpointer peer)
 {
 	(void)key;
 	return value == peer;
 }
 
 static gboolean
-forgettable(gpointer key, gpointer value, gpointer arg)
+peer_expired(gpointer key, gpointer value, gpointer arg)
 {
 	struct mh_peer *p = value;
 	struct member *mb = arg;
@@ -504,10 +508,10 @@
 	(void)key;
 	if (p->up || p->dial != 0 || p->calls != NULL || p->own > 0 ||
 	    p->absent_since_us == 0 ||
-	    mh_now(mb->k) - p->absent_since_us < FORGET_US)
+	    mh_now(mb->k) - p->absent_since_us < PEER_KEEP_US)
 		return FALSE;
 	g_ptr_array_remove(pool_of(mb, p->pool), p);
-	g_hash_table_foreach_remove(mb->conns, is_peers, p);
+	g_hash_table_foreach_remove(mb->conns, is_conn_of, p);
 	return TRUE;
 }
 
@@ -521,7 +525,7 @@
 	GHashTableIter it;
 	gpointer pool;
 
-	g_hash_table_foreach_remove(mb->peers, forgettable, mb);
+	g_hash_table_foreach_remove(mb->peers, peer_expired, mb);
 	if (!mb->entry)
 		return;
 	g_hash_table_iter_init(&it, mb->pools);
@@ -551,7 +555,7 @@
 		mb->links = 0;
 		mh_member_each(mb->k, count_links, mb);
 	}
-	mh_member_each(mb->k, tend_peer, mb);
+	mh_member_each(mb->k, maintain_peer, mb);
 }
 
 static void
@@ -563,7 +567,7 @@
 	Mh__Load load = MH__LOAD__INIT;
 	uint64_t wait_us[MH_PRIORITIES];
 
-	/* Token 0 only tells a generation. */
+	/* Token 0: the frame carries a generation only and needs no pong. */
 	if (in->ping->token == 0)
 		return;
 	pong.token = in->ping->token;
@@ -583,7 +587,7 @@
 	if (p == NULL || p->draining == (bool)f->drain->leaving)
 		return;
 	p->draining = f->drain->leaving;
-	mh_log(mb->k, "member", "Peer is leaving: vm=%s.", p->vm);
+	mh_log(mb->k, "member", "Peer is draining: vm=%s.", p->vm);
 }
 
 static void
@@ -609,7 +613,7 @@
 }
 
 static void
-on_link_self(void *arg, struct mh_peer *p, enum mh_link_event ev, uint64_t conn)
+on_link(void *arg, struct mh_peer *p, enum mh_link_event ev, uint64_t conn)
 {
 	struct member *mb = arg;
 
@@ -621,12 +625,12 @@
 static void
 add_state(void *arg, struct mh_peer *p)
 {
-	json_t *o =
-	    json_pack("{s:s, s:s, s:s, s:b, s:b, s:b, s:b, s:i, s:i, s:i, s:I}",
-		"vm", p->vm, "role", p->role, "pool", p->pool, "up", p->up,
-		"listed", p->listed, "leaving", leaving(p), "wanted", p->wanted,
-		"own", (int)p->own, "running", (int)p->load_running, "queued",
-		(int)p->load_queued, "ewma_us", (json_int_t)p->ewma_us);
+	json_t *o = json_pack(
+	    "{s:s, s:s, s:s, s:b, s:b, s:b, s:b, s:i, s:i, s:i, s:I}", "vm",
+	    p->vm, "role", p->role, "pool", p->pool, "up", p->up, "listed",
+	    p->listed, "leaving", is_draining(p), "wanted", p->wanted, "own",
+	    (int)p->own, "running", (int)p->load_running, "queued",
+	    (int)p->load_queued, "ewma_us", (json_int_t)p->ewma_us);
 
 	json_array_append_new(arg, o);
 }
@@ -677,6 +681,6 @@
 	mh_kern_add(k, "member", mb, NULL, destroy);
 	mh_hub_on(k, MH__FRAME__BODY_DRAIN, on_drain, mb);
 	mh_hub_on(k, MH__FRAME__BODY_PING, on_ping, mb);
-	mh_member_on_link(k, on_link_self, mb);
+	mh_member_on_link(k, on_link, mb);
 	mb->tick = mh_timer_start(k, 0, on_tick, mb);
 }
--- a/lib/rendez.c
+++ b/lib/rendez.c
@@ -14,8 +14,8 @@
 }
 
 uint64_t
-mh_rendezvous(const char *what, const char *node)
+mh_rendezvous(const char *key, const char *node)
 {
 	return XXH3_64bits_withSeed(
-	    node, strlen(node), XXH3_64bits(what, strlen(what)));
+	    node, strlen(node), XXH3_64bits(key, strlen(key)));
 }
--- a/lib/roster.c
+++ b/lib/roster.c
@@ -1,10 +1,11 @@
 /**
- * DOC: The VM list as this process knows it: service "roster".
+ * DOC: This process's copy of the platform's VM list: service "roster".
  *
- * A few watchers per failure domain read the platform's list; the rest ask
- * a watcher for what changed.  Both name the list by the exclusive-or of
- * its VMs' hashes, so the same list has the same name everywhere whatever
- * the order, and an unchanged list costs a few bytes.
+ * A few watchers per failure domain read the list from the platform; every
+ * other process polls a watcher or an entry for changes.  A version of the
+ * list is identified by the exclusive-or of its rows' hashes.  The order of
+ * the rows does not matter, so equal lists have equal hashes everywhere and
+ * a poll for an unchanged list costs a few bytes.
  */
 
 #include "marlhoist.h"
@@ -12,20 +13,20 @@
 #include <string.h>
 
 #define TICK_US (500 * MH_US_PER_MS)
-#define READ_US (1 * MH_US_PER_S) /* between two readings */
-#define STALE_US (4 * MH_US_PER_S) /* then read the platform oneself */
-#define REMEMBER_US (3600 * MH_US_PER_S) /* VMs that left */
-#define CHANGES 512 /* kept to answer with deltas */
-#define WATCHERS 2
+#define READ_INTERVAL_US (1 * MH_US_PER_S) /* between two readings or polls */
+#define STALE_US (4 * MH_US_PER_S) /* then read the platform directly */
+#define UNLISTED_KEEP_US (3600 * MH_US_PER_S) /* rows of former VMs */
+#define MAX_CHANGES 512 /* kept for answering polls with deltas */
+#define WATCHERS 2 /* per failure domain */
 
-/** struct row - one VM of the list, or one that left it. */
+/** struct row - a VM that is on the list or was on it. */
 struct row {
 	struct mh_vm *vm;
-	uint64_t hash; /* 0: not listed any more */
-	int64_t left_us; /* when it was first missing, 0: listed */
+	uint64_t hash; /* 0: no longer listed */
+	int64_t unlisted_us; /* first reading without it, 0: listed */
 };
 
-/** struct change - one step back in the list's history. */
+/** struct change - a change of one row, for deltas. */
 struct change {
 	char *id;
 	char *pool;
@@ -37,14 +38,14 @@
 	struct mh_kern *k;
 	char *vm;
 	char *domain;
-	char *pool; /* a side process keeps only its pool; "": every VM */
-	bool entry;
+	char *pool; /* the only pool to keep, "" for all (on an entry) */
+	bool entry; /* an entry, not a side process */
 	GHashTable *rows; /* id -> struct row */
 	GQueue changes; /* newest first */
 	uint64_t hash; /* of the whole list */
-	int64_t at_us; /* when the newest reading was made, -1: never */
-	int64_t asked_us;
-	bool self_seen; /* some reading held this VM */
+	int64_t read_us; /* time of the newest reading, -1: none */
+	int64_t last_poll_us; /* 0: never */
+	bool was_listed; /* some reading listed this VM */
 	struct mh_timer *tick;
 };
 
@@ -85,7 +86,7 @@
 }
 
 static void
-note_change(struct roster *r, const struct mh_vm *vm, uint64_t old_hash,
+record_change(struct roster *r, const struct mh_vm *vm, uint64_t old_hash,
     uint64_t new_hash)
 {
 	struct change *c = g_new0(struct change, 1);
@@ -96,7 +97,7 @@
 	c->new_hash = new_hash;
 	r->hash ^= old_hash ^ new_hash;
 	g_queue_push_head(&r->changes, c);
-	if (g_queue_get_length(&r->changes) > CHANGES)
+	if (g_queue_get_length(&r->changes) > MAX_CHANGES)
 		free_change(g_queue_pop_tail(&r->changes));
 }
 
@@ -108,14 +109,14 @@
 	struct row *row;
 
 	if (strcmp(vm->id, r->vm) == 0)
-		r->self_seen = true;
+		r->was_listed = true;
 	if (was == hash)
 		return;
 	row = g_new0(struct row, 1);
 	row->vm = mh_vm_new(
 	    vm->id, vm->addr, vm->role, vm->pool, vm->domain, vm->leaving);
 	row->hash = hash;
-	note_change(r, vm, was, hash);
+	record_change(r, vm, was, hash);
 	g_hash_table_replace(r->rows, row->vm->id, row);
 	if (strcmp(vm->id, r->vm) != 0)
 		mh_member_list(r->k, vm);
@@ -126,56 +127,57 @@
 {
 	if (row->hash == 0)
 		return;
-	note_change(r, row->vm, row->hash, 0);
+	record_change(r, row->vm, row->hash, 0);
 	row->hash = 0;
-	row->left_us = MAX(at_us, 1);
+	row->unlisted_us = MAX(at_us, 1);
 	if (strcmp(row->vm->id, r->vm) != 0)
 		mh_member_unlist(r->k, row->vm->id);
 }
 
 static gboolean
-long_gone(gpointer key, gpointer value, gpointer arg)
+row_expired(gpointer key, gpointer value, gpointer arg)
 {
 	const struct row *row = value;
 	struct roster *r = arg;
 
 	(void)key;
-	return row->hash == 0 && mh_now(r->k) - row->left_us > REMEMBER_US;
+	return row->hash == 0 &&
+	    mh_now(r->k) - row->unlisted_us > UNLISTED_KEEP_US;
 }
 
-/* A whole list: whoever is not on it has left. */
+/* Applies a whole list: a VM that is not on it has left. */
 static void
-take_whole(struct roster *r, GPtrArray *vms, int64_t at_us)
+apply_list(struct roster *r, GPtrArray *vms, int64_t at_us)
 {
-	GHashTable *on = g_hash_table_new(g_str_hash, g_str_equal);
+	GHashTable *listed = g_hash_table_new(g_str_hash, g_str_equal);
 	GHashTableIter it;
 	gpointer value;
 
-	r->at_us = at_us;
+	r->read_us = at_us;
 	for (guint i = 0; i < vms->len; i++) {
 		struct mh_vm *vm = vms->pdata[i];
 
 		if (r->pool[0] != '\0' && strcmp(vm->pool, r->pool) != 0)
 			continue;
-		g_hash_table_add(on, vm->id);
+		g_hash_table_add(listed, vm->id);
 		list_vm(r, vm);
 	}
 	g_hash_table_iter_init(&it, r->rows);
 	while (g_hash_table_iter_next(&it, NULL, &value)) {
 		struct row *row = value;
 
-		if (!g_hash_table_contains(on, row->vm->id))
+		if (!g_hash_table_contains(listed, row->vm->id))
 			unlist_vm(r, row, at_us);
 	}
-	g_hash_table_destroy(on);
-	g_hash_table_foreach_remove(r->rows, long_gone, r);
+	g_hash_table_destroy(listed);
+	g_hash_table_foreach_remove(r->rows, row_expired, r);
 	mh_member_refresh(r->k);
 }
 
 /*
- * "Gone" needs a VM that was listed and then missed from every reading for
- * longer than the list lags; no reading (an outage) proves nothing, so the
- * newest reading must itself be recent.
+ * A VM counts as removed if it was listed and then was missing from every
+ * reading for longer than the list may lag.  The newest reading must be
+ * recent: during an outage of the list, absence proves nothing.
  */
 bool
 mh_member_gone(struct mh_kern *k, const char *vm, int64_t after_us)
@@ -185,13 +187,14 @@
 
 	if (row == NULL || row->hash != 0)
 		return false;
-	if (mh_now(k) - r->at_us > STALE_US + READ_US)
+	if (mh_now(k) - r->read_us > STALE_US + READ_INTERVAL_US)
 		return false;
-	return r->at_us - row->left_us > after_us;
+	return r->read_us - row->unlisted_us > after_us;
 }
 
+/* Whether the VM is listed and not draining. */
 static bool
-stays(struct roster *r, const struct row *row)
+is_serving(struct roster *r, const struct row *row)
 {
 	const struct mh_peer *p;
 
@@ -206,7 +209,7 @@
 bool
 mh_member_has_list(struct mh_kern *k)
 {
-	return get(k)->at_us >= 0;
+	return get(k)->read_us >= 0;
 }
 
 bool
@@ -215,31 +218,31 @@
 	struct roster *r = get(k);
 	const struct row *row = g_hash_table_lookup(r->rows, r->vm);
 
-	return r->self_seen && (row == NULL || row->hash == 0);
+	return r->was_listed && (row == NULL || row->hash == 0);
 }
 
-/** struct contest - the best of the listed VMs by rendezvous hashing. */
-struct contest {
-	const char *what;
+/** struct ranking - ranks VMs of the list by rendezvous hashing. */
+struct ranking {
+	const char *key; /* that the VMs are ranked for */
 	const char *role;
 	const char *pool; /* NULL: any */
-	const char *domain;
+	const char *domain; /* NULL: any */
 	const char *best;
 	const char *second;
 	uint64_t weight;
 	uint64_t second_weight;
 	uint32_t count;
-	uint64_t mine; /* a weight of our own, and... */
-	uint32_t before; /* ...how many have more */
+	uint64_t own_weight; /* weight to compare with */
+	uint32_t n_before; /* VMs with a higher weight than that */
 };
 
 static void
-contend(struct contest *c, const char *vm)
+rank_vm(struct ranking *c, const char *vm)
 {
-	uint64_t w = mh_rendezvous(c->what, vm);
+	uint64_t w = mh_rendezvous(c->key, vm);
 
 	c->count++;
-	c->before += w > c->mine;
+	c->n_before += w > c->own_weight;
 	if (c->best == NULL || w > c->weight) {
 		c->second = c->best;
 		c->second_weight = c->weight;
@@ -251,8 +254,9 @@
 	}
 }
 
+/* Ranks the listed VMs that match the role, pool and domain of @c. */
 static void
-hold(struct roster *r, struct contest *c)
+hold(struct roster *r, struct ranking *c)
 {
 	GHashTableIter it;
 	gpointer value;
@@ -265,82 +269,81 @@
 		    (c->pool != NULL && strcmp(row->vm->pool, c->pool) != 0) ||
 		    (c->domain != NULL &&
 			strcmp(row->vm->domain, c->domain) != 0) ||
-		    !stays(r, row))
+		    !is_serving(r, row))
 			continue;
-		contend(c, row->vm->id);
+		rank_vm(c, row->vm->id);
 	}
 }
 
 uint32_t
 mh_member_entries(struct mh_kern *k)
 {
-	struct contest c = { .what = "", .role = "entry" };
+	struct ranking c = { .key = "", .role = "entry" };
 
 	hold(get(k), &c);
 	return MAX(c.count, 1);
 }
 
 uint32_t
-mh_roster_rank(struct mh_kern *k, const char *what, uint32_t *entries)
+mh_roster_rank(struct mh_kern *k, const char *key, uint32_t *entries)
 {
 	struct roster *r = get(k);
-	struct contest c = { .what = what,
+	struct ranking c = { .key = key,
 		.role = "entry",
-		.mine = mh_rendezvous(what, r->vm) };
+		.own_weight = mh_rendezvous(key, r->vm) };
 
 	hold(r, &c);
 	*entries = MAX(c.count, 1);
-	return r->at_us < 0 ? UINT32_MAX : c.before; /* no list was read */
+	return r->read_us < 0 ? UINT32_MAX : c.n_before; /* no list yet */
 }
 
 const char *
-mh_member_home(struct mh_kern *k, const char *what)
+mh_member_home(struct mh_kern *k, const char *key)
 {
-	struct contest c = { .what = what, .role = "entry" };
+	struct ranking c = { .key = key, .role = "entry" };
 
 	hold(get(k), &c);
 	return c.best;
 }
 
 const char *
-mh_member_winner(struct mh_kern *k, const char *pool, const char *what)
+mh_member_winner(struct mh_kern *k, const char *pool, const char *key)
 {
-	struct contest c = { .what = what, .role = "side", .pool = pool };
+	struct ranking c = { .key = key, .role = "side", .pool = pool };
 
 	hold(get(k), &c);
 	return c.best;
 }
 
 static bool
-is(const char *a, const char *b)
+same_id(const char *a, const char *b)
 {
 	return a != NULL && strcmp(a, b) == 0;
 }
 
 /*
- * Chosen without agreement: each process ranks the entries that it knows in
- * its domain.  Two views may give one watcher too many or too few for a
- * moment, which costs a read, not safety.  A side process watches only
- * while no entry is linked to it.
+ * Watchers are chosen without agreement: each entry ranks the listed entries
+ * of its failure domain.  Where copies of the list differ there may be a
+ * watcher too many or too few for a moment, which costs reads, not safety.
+ * A side process watches only while it has no link.
  */
 bool
-mh_member_watcher(struct mh_kern *k, const char *what)
+mh_member_watcher(struct mh_kern *k, const char *key)
 {
 	struct roster *r = get(k);
-	struct contest c = {
-		.what = what, .role = "entry", .domain = r->domain
-	};
+	struct ranking c = { .key = key, .role = "entry", .domain = r->domain };
 
-	if (r->at_us < 0)
+	if (r->read_us < 0)
 		return true;
 	if (!r->entry)
 		return mh_member_links(k) == 0;
 	hold(r, &c);
-	return is(c.best, r->vm) || is(c.second, r->vm) || c.count < WATCHERS;
+	return same_id(c.best, r->vm) || same_id(c.second, r->vm) ||
+	    c.count < WATCHERS;
 }
 
 static void
-first_entry(void *arg, struct mh_peer *p)
+find_linked_entry(void *arg, struct mh_peer *p)
 {
 	struct mh_peer **out = arg;
 
@@ -348,18 +351,22 @@
 		*out = p;
 }
 
-/* Whom to ask: an entry asks its domain's watchers, a side process an entry. */
+/*
+ * The peer to poll: for an entry a watcher of its failure domain, which is
+ * dialed if need be, for a side process any linked entry.  NULL if there is
+ * no such link.
+ */
 static struct mh_peer *
 upstream(struct roster *r)
 {
-	struct contest c = {
-		.what = "vmlist", .role = "entry", .domain = r->domain
+	struct ranking c = {
+		.key = "vmlist", .role = "entry", .domain = r->domain
 	};
 	struct mh_peer *found = NULL;
 	const char *names[WATCHERS];
 
 	if (!r->entry) {
-		mh_member_each(r->k, first_entry, &found);
+		mh_member_each(r->k, find_linked_entry, &found);
 		return found;
 	}
 	hold(r, &c);
@@ -378,18 +385,19 @@
 	return found;
 }
 
+/* Reads the list from the platform or polls a peer, at most once a second. */
 static void
 ask(struct roster *r)
 {
 	int64_t now = mh_now(r->k);
-	bool stale = r->at_us < 0 || now - r->at_us > STALE_US;
+	bool stale = r->read_us < 0 || now - r->read_us > STALE_US;
 	struct mh_peer *p = upstream(r);
 	Mh__Frame f = MH__FRAME__INIT;
 	Mh__MembersAsk m = MH__MEMBERS_ASK__INIT;
 
-	if (now - r->asked_us < READ_US && r->asked_us != 0)
+	if (now - r->last_poll_us < READ_INTERVAL_US && r->last_poll_us != 0)
 		return;
-	r->asked_us = MAX(now, 1);
+	r->last_poll_us = MAX(now, 1);
 	if (stale || mh_member_watcher(r->k, "vmlist")) {
 		mh_post(r->k, "vmlist", mh_msg_new(MH_MSG_VMLIST_ASK));
 		mh_count(r->k, "member_list_reads", 1);
@@ -414,40 +422,43 @@
 }
 
 static bool
-in_view(const char *view, const char *pool)
+in_pool(const char *filter, const char *pool)
 {
-	return view[0] == '\0' || strcmp(view, pool) == 0;
+	return filter[0] == '\0' || strcmp(filter, pool) == 0;
 }
 
 static uint64_t
-view_hash(struct roster *r, const char *view)
+pool_hash(struct roster *r, const char *pool)
 {
 	GHashTableIter it;
 	gpointer value;
 	uint64_t h = 0;
 
-	if (view[0] == '\0')
+	if (pool[0] == '\0')
 		return r->hash;
 	g_hash_table_iter_init(&it, r->rows);
 	while (g_hash_table_iter_next(&it, NULL, &value)) {
 		const struct row *row = value;
 
-		if (in_view(view, row->vm->pool))
+		if (in_pool(pool, row->vm->pool))
 			h ^= row->hash;
 	}
 	return h;
 }
 
-/* The ids that changed since the list was named @from; NULL: too long ago. */
+/*
+ * Ids that changed since the list had the hash @from, @to being the hash now.
+ * NULL if the recorded changes do not go back that far.
+ */
 static GHashTable *
-changed_since(struct roster *r, const char *view, uint64_t from, uint64_t to)
+changed_since(struct roster *r, const char *pool, uint64_t from, uint64_t to)
 {
 	GHashTable *ids = g_hash_table_new(g_str_hash, g_str_equal);
 
 	for (GList *n = r->changes.head; n != NULL && to != from; n = n->next) {
 		struct change *c = n->data;
 
-		if (!in_view(view, c->pool))
+		if (!in_pool(pool, c->pool))
 			continue;
 		to ^= c->old_hash ^ c->new_hash;
 		g_hash_table_add(ids, c->id);
@@ -475,7 +486,7 @@
 }
 
 static GPtrArray *
-collect(struct roster *r, const char *view, GHashTable *ids)
+collect(struct roster *r, const char *pool, GHashTable *ids)
 {
 	GPtrArray *list = g_ptr_array_new_with_free_func(g_free);
 	GHashTableIter it;
@@ -485,7 +496,7 @@
 	while (g_hash_table_iter_next(&it, NULL, &value)) {
 		const struct row *row = value;
 
-		if (!in_view(view, row->vm->pool))
+		if (!in_pool(pool, row->vm->pool))
 			continue;
 		if (ids != NULL ? g_hash_table_contains(ids, row->vm->id)
 				: row->hash != 0)
@@ -498,20 +509,20 @@
 on_members_ask(void *arg, uint64_t conn, const Mh__Frame *in)
 {
 	struct roster *r = arg;
-	const char *view = in->members_ask->pool;
-	uint64_t hash = view_hash(r, view);
-	GHashTable *ids = changed_since(r, view, in->members_ask->hash, hash);
+	const char *pool = in->members_ask->pool;
+	uint64_t hash = pool_hash(r, pool);
+	GHashTable *ids = changed_since(r, pool, in->members_ask->hash, hash);
 	Mh__Frame f = MH__FRAME__INIT;
 	Mh__Members m = MH__MEMBERS__INIT;
 	GPtrArray *list;
 
-	if (r->at_us < 0) {
+	if (r->read_us < 0) {
 		if (ids != NULL)
 			g_hash_table_destroy(ids);
 		return;
 	}
-	list = collect(r, view, ids);
-	m.seen_us_ago = (uint64_t)(mh_now(r->k) - r->at_us);
+	list = collect(r, pool, ids);
+	m.seen_us_ago = (uint64_t)(mh_now(r->k) - r->read_us);
 	m.hash = hash;
 	m.whole = ids == NULL;
 	m.n_vms = list->len;
@@ -525,9 +536,9 @@
 }
 
 static void
-take_delta(struct roster *r, const Mh__Members *m, int64_t at_us)
+apply_delta(struct roster *r, const Mh__Members *m, int64_t at_us)
 {
-	r->at_us = at_us;
+	r->read_us = at_us;
 	for (size_t i = 0; i < m->n_vms; i++) {
 		const Mh__Vm *v = m->vms[i];
 		struct row *row = g_hash_table_lookup(r->rows, v->id);
@@ -552,11 +563,11 @@
 	GPtrArray *vms;
 
 	(void)conn;
-	/* A reading older than ours tells nothing new. */
-	if (at_us <= r->at_us)
+	/* Ignore a reading that is not newer than ours. */
+	if (at_us <= r->read_us)
 		return;
 	if (!m->whole) {
-		take_delta(r, m, at_us);
+		apply_delta(r, m, at_us);
 		return;
 	}
 	mh_count(r->k, "member_whole_lists", 1);
@@ -568,7 +579,7 @@
 		    mh_vm_new(v->id, v->addr, v->role, v->pool, v->domain,
 			v->leaving));
 	}
-	take_whole(r, vms, at_us);
+	apply_list(r, vms, at_us);
 	g_ptr_array_unref(vms);
 }
 
@@ -578,7 +589,8 @@
 	struct roster *r = get(k);
 
 	return json_pack("{s:I, s:i, s:b}", "age_us",
-	    r->at_us < 0 ? (json_int_t)-1 : (json_int_t)(mh_now(k) - r->at_us),
+	    r->read_us < 0 ? (json_int_t)-1
+			   : (json_int_t)(mh_now(k) - r->read_us),
 	    "rows", (int)g_hash_table_size(r->rows), "watching",
 	    mh_member_watcher(k, "vmlist"));
 }
@@ -590,12 +602,12 @@
 
 	if (m->kind != MH_MSG_VMLIST)
 		return;
-	/* No reading changes nothing: an outage of the list stops nobody. */
+	/* Keep the list as it is: an outage of it must not stop the service. */
 	if (!m->u.vmlist.ok) {
 		mh_count(r->k, "member_list_failed", 1);
 		return;
 	}
-	take_whole(r, m->u.vmlist.vms, mh_now(r->k));
+	apply_list(r, m->u.vmlist.vms, mh_now(r->k));
 }
 
 static void
@@ -623,7 +635,7 @@
 	r->domain = g_strdup(domain);
 	r->pool = g_strdup(pool == NULL ? "" : pool);
 	r->entry = pool == NULL;
-	r->at_us = -1;
+	r->read_us = -1;
 	r->rows =
 	    g_hash_table_new_full(g_str_hash, g_str_equal, NULL, free_row);
 	g_queue_init(&r->changes);
--- a/lib/subset.c
+++ b/lib/subset.c
@@ -1,17 +1,17 @@
 /**
- * DOC: Which endpoints of a pool an entry links to.
+ * DOC: The subset of a pool's endpoints that an entry links to.
  *
- * The subset follows from names alone, so a change of one VM moves only
- * that VM's links.
+ * Endpoints are ranked by rendezvous hashing of names, so that a VM that joins
+ * or leaves changes few links other than its own.
  */
 
 #include "marlhoist.h"
 
 #include <string.h>
 
-#define SUBSET 20 /* an entry's links to one pool, at least */
-#define LINKED 6 /* links from entries that each endpoint has on average */
-#define NEAR_PART 0.7 /* of the links stay in the own failure domain */
+#define MIN_LINKS 20 /* of an entry to one pool */
+#define LINKS_PER_ENDPOINT 6 /* from all entries, on average */
+#define LOCAL_SHARE 0.7 /* of the links, in the entry's failure domain */
 
 static int
 by_weight(gconstpointer a, gconstpointer b, gpointer self)
@@ -25,14 +25,15 @@
 }
 
 /*
- * With few entries before a large pool twenty links each would leave
- * endpoints that nobody asks, so the subset grows until every endpoint can
- * expect several.
+ * With few entries and a large pool MIN_LINKS each would leave endpoints
+ * without any link, so the subset grows until every endpoint can expect
+ * several.
  */
 static uint32_t
 subset_size(uint32_t entries, uint32_t pool)
 {
-	return MAX(SUBSET, (pool * LINKED + entries - 1) / entries);
+	return MAX(
+	    MIN_LINKS, (pool * LINKS_PER_ENDPOINT + entries - 1) / entries);
 }
 
 void
@@ -41,8 +42,8 @@
 {
 	GPtrArray *sorted = g_ptr_array_new();
 	uint32_t size = subset_size(MAX(a->entries, 1), pool->len);
-	uint32_t near_size = (uint32_t)(NEAR_PART * size);
-	uint32_t near = 0, taken = 0;
+	uint32_t local_size = (uint32_t)(LOCAL_SHARE * size);
+	uint32_t n_local = 0, n_chosen = 0;
 
 	for (guint i = 0; i < pool->len; i++) {
 		struct mh_peer *p = pool->pdata[i];
@@ -56,14 +57,14 @@
 	    sorted, by_weight, (gpointer)(uintptr_t)a->vm);
 	for (guint i = 0; i < sorted->len; i++) {
 		struct mh_peer *p = sorted->pdata[i];
-		bool mine = strcmp(p->domain, a->domain) == 0;
-		bool room =
-		    mine ? near < near_size : taken - near < size - near_size;
-		bool take = sorted->len <= size || room;
+		bool local = strcmp(p->domain, a->domain) == 0;
+		bool has_room = local ? n_local < local_size
+				      : n_chosen - n_local < size - local_size;
+		bool choose = sorted->len <= size || has_room;
 
-		taken += take;
-		near += take && mine;
-		fn(arg, p, take);
+		n_chosen += choose;
+		n_local += choose && local;
+		fn(arg, p, choose);
 	}
 	g_ptr_array_free(sorted, TRUE);
 }
--- a/lib/vmlist.c
+++ b/lib/vmlist.c
@@ -1,13 +1,15 @@
 /**
- * DOC: Service "vmlist": one reading of the platform's VM list per request,
- * a JSON array of objects with id, addr, role, pool, domain and state.
+ * DOC: HTTP client of the platform's VM list: service "vmlist".
+ *
+ * Reads the list once per MH_MSG_VMLIST_ASK: a JSON array of objects with
+ * id, addr, role, pool, domain and state.
  */
 
 #include "marlhoist.h"
 
 #include <string.h>
 
-#define CALL_US (1 * MH_US_PER_S)
+#define CALL_TIMEOUT_US (1 * MH_US_PER_S)
 
 struct vmlist {
 	struct mh_kern *k;
@@ -65,7 +67,7 @@
 {
 	struct vmlist *v = self;
 	struct mh_http_call call = {
-		.method = "GET", .url = v->url, .timeout_us = CALL_US
+		.method = "GET", .url = v->url, .timeout_us = CALL_TIMEOUT_US
 	};
 
 	if (m->kind == MH_MSG_VMLIST_ASK)
--- a/lib/wire.c
+++ b/lib/wire.c
@@ -1,5 +1,5 @@
 /**
- * DOC: Packing and unpacking of frames between our processes.
+ * DOC: Packs and unpacks the frames between marlhoist processes.
  */
 
 #include "marlhoist.h"
