--- a/regress/net.c
+++ b/regress/net.c
@@ -1,5 +1,5 @@
 /**
- * DOC: Nodes in virtual time over small fakes.
+ * DOC: Nodes in virtual time, connected by simulated links.
  */
 
 #include "netfake.h"
@@ -8,18 +8,19 @@
 #include <string.h>
 
 #define DIAL_REFUSED_US 200
-#define LATE_FACTOR 40
+#define DELAY_FACTOR 40
 
-struct end {
+struct link_end {
 	struct net_node *node;
 	uint64_t incarnation;
 	uint64_t conn;
-	bool deaf; /* frames to this end are lost */
+	bool rx_dropped; /* frames to this end are dropped */
 };
 
-struct wire {
-	struct end a;
-	struct end b;
+/** struct net_link - a link between two nodes. */
+struct net_link {
+	struct link_end a;
+	struct link_end b;
 	bool open;
 };
 
@@ -28,7 +29,7 @@
 	struct net *net;
 	struct net_node *to;
 	uint64_t incarnation;
-	struct wire *wire; /* frames: lost when the wire closed or fell deaf */
+	struct net_link *link; /* that it passes; NULL: none */
 	bool to_a;
 	const char *service;
 	struct mh_msg *msg;
@@ -96,7 +97,7 @@
 	n->k = mh_kern_create(seed);
 	mh_kern_advance(n->k, 1, NET_START_WALL_US);
 	n->nodes = g_ptr_array_new_with_free_func(g_free);
-	n->wires = g_ptr_array_new_with_free_func(g_free);
+	n->links = g_ptr_array_new_with_free_func(g_free);
 	n->kv_waits = g_ptr_array_new_with_free_func(net_free_wait);
 	n->answers = g_hash_table_new_full(
 	    g_int64_hash, g_int64_equal, NULL, net_free_answer);
@@ -104,9 +105,9 @@
 	n->kv = g_hash_table_new_full(
 	    g_str_hash, g_str_equal, g_free, net_free_value);
 	n->latency_us = 300;
-	n->kv_us = KV_ANSWER_US;
+	n->kv_us = KV_LATENCY_US;
 	n->next_incarnation = 100;
-	n->under_way = g_hash_table_new_full(NULL, NULL, free_delivery, NULL);
+	n->in_flight = g_hash_table_new_full(NULL, NULL, free_delivery, NULL);
 	n->log = g_string_new(NULL);
 	return n;
 }
@@ -122,9 +123,9 @@
 			g_array_free(x->at_it, TRUE);
 	}
 	mh_kern_destroy(n->k);
-	g_hash_table_destroy(n->under_way);
+	g_hash_table_destroy(n->in_flight);
 	g_ptr_array_unref(n->nodes);
-	g_ptr_array_unref(n->wires);
+	g_ptr_array_unref(n->links);
 	g_ptr_array_unref(n->kv_waits);
 	g_hash_table_destroy(n->answers);
 	g_hash_table_destroy(n->audit);
@@ -148,21 +149,21 @@
 	struct delivery *d = arg;
 	bool lost = d->to->k == NULL || d->to->incarnation != d->incarnation;
 
-	if (d->wire != NULL && !lost)
-		lost = !d->wire->open ||
-		    (d->to_a ? d->wire->a.deaf : d->wire->b.deaf);
+	if (d->link != NULL && !lost)
+		lost = !d->link->open ||
+		    (d->to_a ? d->link->a.rx_dropped : d->link->b.rx_dropped);
 	if (!lost) {
 		mh_post(d->to->k, d->service, d->msg);
-		g_hash_table_steal(d->net->under_way, d);
+		g_hash_table_steal(d->net->in_flight, d);
 		g_free(d);
 	} else {
-		g_hash_table_remove(d->net->under_way, d);
+		g_hash_table_remove(d->net->in_flight, d);
 	}
 }
 
 void
 net_deliver(struct net_node *to, const char *service, struct mh_msg *m,
-    int64_t after_us, struct wire *wire, bool to_a)
+    int64_t after_us, struct net_link *link, bool to_a)
 {
 	struct delivery *d = g_new0(struct delivery, 1);
 
@@ -171,9 +172,9 @@
 	d->incarnation = to->incarnation;
 	d->service = service;
 	d->msg = m;
-	d->wire = wire;
+	d->link = link;
 	d->to_a = to_a;
-	g_hash_table_add(to->net->under_way, d);
+	g_hash_table_add(to->net->in_flight, d);
 	mh_timer_start(to->net->k, after_us, arrive, d);
 }
 
@@ -191,23 +192,23 @@
 	return NULL;
 }
 
-static struct wire *
-wire_of(struct net_node *x, uint64_t conn, bool *is_a)
+static struct net_link *
+link_of(struct net_node *x, uint64_t conn, bool *is_a)
 {
-	for (guint i = 0; i < x->net->wires->len; i++) {
-		struct wire *w = x->net->wires->pdata[i];
+	for (guint i = 0; i < x->net->links->len; i++) {
+		struct net_link *nl = x->net->links->pdata[i];
 
-		if (!w->open)
+		if (!nl->open)
 			continue;
-		if (w->a.node == x && w->a.conn == conn &&
-		    w->a.incarnation == x->incarnation) {
+		if (nl->a.node == x && nl->a.conn == conn &&
+		    nl->a.incarnation == x->incarnation) {
 			*is_a = true;
-			return w;
+			return nl;
 		}
-		if (w->b.node == x && w->b.conn == conn &&
-		    w->b.incarnation == x->incarnation) {
+		if (nl->b.node == x && nl->b.conn == conn &&
+		    nl->b.incarnation == x->incarnation) {
 			*is_a = false;
-			return w;
+			return nl;
 		}
 	}
 	return NULL;
@@ -243,31 +244,32 @@
 {
 	struct net *n = x->net;
 	struct net_node *y = node_at(n, addr);
-	struct wire *w;
+	struct net_link *nl;
 
 	if (y == NULL) {
 		net_deliver(
 		    x, "hub", down_msg(conn), DIAL_REFUSED_US, NULL, false);
 		return;
 	}
-	/* A paused process accepts nothing: the dialer hears nothing. */
+	/* A paused process accepts nothing: the dialer gets no event. */
 	if (y->paused)
 		return;
-	w = g_new0(struct wire, 1);
-	w->open = true;
-	w->a = (struct end) { x, x->incarnation, conn, false };
-	w->b = (struct end) { y, y->incarnation, mh_next_id(y->k), false };
-	g_ptr_array_add(n->wires, w);
+	nl = g_new0(struct net_link, 1);
+	nl->open = true;
+	nl->a = (struct link_end) { x, x->incarnation, conn, false };
+	nl->b =
+	    (struct link_end) { y, y->incarnation, mh_next_id(y->k), false };
+	g_ptr_array_add(n->links, nl);
 	net_deliver(
-	    x, "hub", up_msg(conn, y, false), n->latency_us * 2, w, true);
+	    x, "hub", up_msg(conn, y, false), n->latency_us * 2, nl, true);
 	net_deliver(
-	    y, "hub", up_msg(w->b.conn, x, true), n->latency_us, w, false);
+	    y, "hub", up_msg(nl->b.conn, x, true), n->latency_us, nl, false);
 }
 
 static void
-close_end(struct wire *w, const struct end *e)
+close_end(struct net_link *nl, const struct link_end *e)
 {
-	(void)w;
+	(void)nl;
 	if (e->node->k != NULL && e->node->incarnation == e->incarnation)
 		net_deliver(e->node, "hub", down_msg(e->conn),
 		    e->node->net->latency_us, NULL, false);
@@ -277,13 +279,13 @@
 close_conn(struct net_node *x, uint64_t conn)
 {
 	bool is_a = false;
-	struct wire *w = wire_of(x, conn, &is_a);
+	struct net_link *nl = link_of(x, conn, &is_a);
 
-	if (w == NULL)
+	if (nl == NULL)
 		return;
-	w->open = false;
-	if (!w->a.deaf && !w->b.deaf)
-		close_end(w, is_a ? &w->b : &w->a);
+	nl->open = false;
+	if (!nl->a.rx_dropped && !nl->b.rx_dropped)
+		close_end(nl, is_a ? &nl->b : &nl->a);
 }
 
 static void
@@ -291,18 +293,18 @@
 {
 	struct net *n = x->net;
 	bool is_a = false;
-	struct wire *w = wire_of(x, l->conn, &is_a);
-	struct end *to;
+	struct net_link *nl = link_of(x, l->conn, &is_a);
+	struct link_end *to;
 	int times = 1;
 
-	if (w == NULL)
+	if (nl == NULL)
 		return;
-	/* As link.c does: what is over the bound ends the connection. */
+	/* As in link.c: a frame over the bound closes the connection. */
 	if (g_bytes_get_size(l->frame) > MH_MAX_FRAME) {
 		close_conn(x, l->conn);
 		return;
 	}
-	to = is_a ? &w->b : &w->a;
+	to = is_a ? &nl->b : &nl->a;
 	n->frames++;
 	n->bytes += g_bytes_get_size(l->frame) + 4;
 	if (n->duplicate > 0 && mh_random_unit(n->k) < n->duplicate)
@@ -312,10 +314,10 @@
 		int64_t after = n->latency_us;
 
 		if (n->delay > 0 && mh_random_unit(n->k) < n->delay)
-			after *= LATE_FACTOR;
+			after *= DELAY_FACTOR;
 		m->u.link.conn = to->conn;
 		m->u.link.frame = g_bytes_ref(l->frame);
-		net_deliver(to->node, "hub", m, after, w, !is_a);
+		net_deliver(to->node, "hub", m, after, nl, !is_a);
 	}
 }
 
@@ -422,20 +424,21 @@
 	mh_side_create(x->k, &a);
 }
 
+/* Without @report the links stay open and drop every frame. */
 static void
-end_wires(struct net_node *x, bool tell)
+drop_links(struct net_node *x, bool report)
 {
-	for (guint i = 0; i < x->net->wires->len; i++) {
-		struct wire *w = x->net->wires->pdata[i];
-		bool a = w->a.node == x, b = w->b.node == x;
+	for (guint i = 0; i < x->net->links->len; i++) {
+		struct net_link *nl = x->net->links->pdata[i];
+		bool a = nl->a.node == x, b = nl->b.node == x;
 
-		if (!w->open || (!a && !b))
+		if (!nl->open || (!a && !b))
 			continue;
-		if (tell) {
-			w->open = false;
-			close_end(w, a ? &w->b : &w->a);
+		if (report) {
+			nl->open = false;
+			close_end(nl, a ? &nl->b : &nl->a);
 		} else {
-			w->a.deaf = w->b.deaf = true;
+			nl->a.rx_dropped = nl->b.rx_dropped = true;
 		}
 	}
 }
@@ -445,13 +448,13 @@
 {
 	mh_kern_destroy(x->k);
 	x->k = NULL;
-	end_wires(x, true);
+	drop_links(x, true);
 }
 
 void
 net_vanish(struct net_node *x)
 {
-	end_wires(x, false);
+	drop_links(x, false);
 	mh_kern_destroy(x->k);
 	x->k = NULL;
 }
@@ -459,34 +462,34 @@
 void
 net_silence(struct net_node *x, bool in, bool out)
 {
-	for (guint i = 0; i < x->net->wires->len; i++) {
-		struct wire *w = x->net->wires->pdata[i];
-		struct end *self = w->a.node == x ? &w->a : &w->b;
-		struct end *peer = w->a.node == x ? &w->b : &w->a;
+	for (guint i = 0; i < x->net->links->len; i++) {
+		struct net_link *nl = x->net->links->pdata[i];
+		struct link_end *self = nl->a.node == x ? &nl->a : &nl->b;
+		struct link_end *peer = nl->a.node == x ? &nl->b : &nl->a;
 
 		if (self->node != x)
 			continue;
-		self->deaf |= in;
-		peer->deaf |= out;
+		self->rx_dropped |= in;
+		peer->rx_dropped |= out;
 	}
 }
 
 void
 net_cut(struct net_node *x)
 {
-	for (guint i = 0; i < x->net->wires->len; i++) {
-		struct wire *w = x->net->wires->pdata[i];
+	for (guint i = 0; i < x->net->links->len; i++) {
+		struct net_link *nl = x->net->links->pdata[i];
 
-		if (!w->open || (w->a.node != x && w->b.node != x))
+		if (!nl->open || (nl->a.node != x && nl->b.node != x))
 			continue;
-		w->open = false;
-		close_end(w, &w->a);
-		close_end(w, &w->b);
+		nl->open = false;
+		close_end(nl, &nl->a);
+		close_end(nl, &nl->b);
 	}
 }
 
 static bool
-runs(const struct net_node *x)
+is_running(const struct net_node *x)
 {
 	return x->k != NULL && !x->paused;
 }
@@ -498,7 +501,7 @@
 
 	for (guint i = 0; i < n->nodes->len; i++) {
 		struct net_node *x = n->nodes->pdata[i];
-		int64_t t = runs(x) ? mh_kern_next(x->k) : -1;
+		int64_t t = is_running(x) ? mh_kern_next(x->k) : -1;
 
 		if (t >= 0 && (next < 0 || t < next))
 			next = t;
@@ -509,13 +512,13 @@
 void
 net_run(struct net *n, int64_t us)
 {
-	int64_t end = mh_now(n->k) + us;
+	int64_t end_us = mh_now(n->k) + us;
 
 	for (;;) {
 		int64_t next = next_event(n);
 
-		if (next < 0 || next > end)
-			next = end;
+		if (next < 0 || next > end_us)
+			next = end_us;
 		next = MAX(next, mh_now(n->k));
 		mh_kern_advance(n->k, next, NET_START_WALL_US + next);
 		if (n->kv_waits->len > 0 && n->kv_down)
@@ -523,14 +526,14 @@
 		for (guint i = 0; i < n->nodes->len; i++) {
 			struct net_node *x = n->nodes->pdata[i];
 
-			if (runs(x) &&
+			if (is_running(x) &&
 			    (mh_kern_next(x->k) <= next &&
 				mh_kern_next(x->k) >= 0))
 				net_tick(x);
 		}
-		if (mh_now(n->k) >= end && next_event(n) > end)
+		if (mh_now(n->k) >= end_us && next_event(n) > end_us)
 			return;
-		if (next_event(n) < 0 && mh_now(n->k) >= end)
+		if (next_event(n) < 0 && mh_now(n->k) >= end_us)
 			return;
 	}
 }
--- a/regress/netfake.c
+++ b/regress/netfake.c
@@ -1,5 +1,5 @@
 /**
- * DOC: Small fakes at the interfaces of a node: KV service, VM list,
+ * DOC: Fakes at the interfaces of a simulated node: KV service, VM list,
  * endpoint, callers.
  */
 
@@ -17,7 +17,7 @@
 	struct net_node *node;
 	uint64_t incarnation;
 	struct mh_kv_msg q;
-	int64_t until_us;
+	int64_t expires_us;
 };
 
 void
@@ -53,7 +53,7 @@
 /* ---- kv ---- */
 
 static struct mh_msg *
-kv_answer(struct net *n, const struct mh_kv_msg *q)
+kv_reply(struct net *n, const struct mh_kv_msg *q)
 {
 	struct mh_msg *m = mh_msg_new(MH_MSG_KV_DONE);
 	struct value *v = g_hash_table_lookup(n->kv, q->name);
@@ -78,7 +78,7 @@
 	return m;
 }
 
-/* Names of services live as long as the program. */
+/* The service name as a constant; @from is freed with its message. */
 static const char *
 service_name(const char *from)
 {
@@ -108,7 +108,7 @@
 		struct kv_wait *w = n->kv_waits->pdata[i];
 
 		if (name != NULL && strcmp(w->q.name, name) != 0 &&
-		    w->until_us > mh_now(n->k)) {
+		    w->expires_us > mh_now(n->k)) {
 			i++;
 			continue;
 		}
@@ -118,7 +118,7 @@
 				kv_fail(w->node, &w->q);
 			else
 				net_deliver(w->node, service_name(w->q.from),
-				    kv_answer(n, &w->q), n->kv_us, NULL, false);
+				    kv_reply(n, &w->q), n->kv_us, NULL, false);
 		}
 		g_ptr_array_remove_index(n->kv_waits, i);
 	}
@@ -179,8 +179,8 @@
 	v = g_hash_table_lookup(n->kv, q->name);
 	if (q->op != MH_KV_WATCH || q->index == 0 || n->kv_no_wait ||
 	    (v != NULL && v->index > q->index)) {
-		net_deliver(x, service_name(q->from), kv_answer(n, q),
-		    KV_ANSWER_US, NULL, false);
+		net_deliver(x, service_name(q->from), kv_reply(n, q),
+		    KV_LATENCY_US, NULL, false);
 		return;
 	}
 	w = g_new0(struct kv_wait, 1);
@@ -190,7 +190,7 @@
 	w->q.from = g_strdup(q->from);
 	w->q.name = g_strdup(q->name);
 	w->q.value = NULL;
-	w->until_us = mh_now(n->k) + q->wait_us;
+	w->expires_us = mh_now(n->k) + q->wait_us;
 	g_ptr_array_add(n->kv_waits, w);
 }
 
@@ -240,13 +240,13 @@
 			    mh_vm_new(y->vm, y->addr, y->role, y->pool,
 				y->domain, y->leaving));
 	}
-	net_deliver(x, "roster", m, LIST_ANSWER_US, NULL, false);
+	net_deliver(x, "roster", m, LIST_LATENCY_US, NULL, false);
 }
 
 /* ---- endpoint ---- */
 
 static GBytes *
-padded_answer(size_t bytes)
+padded_body(size_t bytes)
 {
 	GString *s = g_string_new("{\"confirmed\":true,\"pad\":\"");
 
@@ -262,7 +262,7 @@
 	const char *text = "{\"confirmed\":true}";
 
 	if (q->kind == MH_SERVICE && x->answer_bytes > 0)
-		return padded_answer(x->answer_bytes);
+		return padded_body(x->answer_bytes);
 	if (q->kind == MH_ENCODE)
 		text = "{\"data\":[{\"embedding\":[1,2]}]}";
 	else if (q->kind == MH_RETRIEVE)
@@ -276,7 +276,7 @@
 }
 
 static uint32_t
-wanted_tokens(const struct mh_run_msg *q)
+max_tokens(const struct mh_run_msg *q)
 {
 	gsize len;
 	const char *data = g_bytes_get_data(q->body, &len);
@@ -312,9 +312,12 @@
 	}
 }
 
-/* Every run there breaks; the ends that were on their way match none. */
+/*
+ * Breaks the connection of every run there.  If a run gets two ends, the side
+ * process ignores the second.
+ */
 static void
-fall(struct net_node *x)
+crash(struct net_node *x)
 {
 	x->fall_us = net_now(x->net) + NET_FALL_US;
 	x->falls_seen++;
@@ -329,9 +332,12 @@
 	g_array_set_size(x->at_it, 0);
 }
 
-/* True if the run needs no other end. */
+/*
+ * Applies the crash simulation to a run that starts.  Returns true if the
+ * endpoint crashes under it, so that its end is already scheduled.
+ */
 static bool
-falls(struct net_node *x, const struct mh_run_msg *q)
+handle_crash(struct net_node *x, const struct mh_run_msg *q)
 {
 	int64_t now = net_now(x->net);
 	gsize len;
@@ -347,7 +353,7 @@
 	g_array_append_val(x->at_it, q->run);
 	if (g_strstr_len(data, (gssize)len, NET_FATAL) == NULL)
 		return false;
-	fall(x);
+	crash(x);
 	return true;
 }
 
@@ -363,7 +369,7 @@
 		x->aborts++;
 		return;
 	}
-	if (falls(x, q))
+	if (handle_crash(x, q))
 		return;
 	m = mh_msg_new(MH_MSG_RAN);
 	m->u.run.run = q->run;
@@ -380,7 +386,7 @@
 		m->u.run.whole = !x->cut;
 		m->u.run.body = run_body(x, q);
 		if (q->kind == MH_GENERATE && x->status == 0)
-			run_stream(x, q, wanted_tokens(q) + x->surplus);
+			run_stream(x, q, max_tokens(q) + x->surplus);
 	}
 	net_deliver(x, "side", m, x->unsent ? 100 : x->service_us, NULL, false);
 }
@@ -414,15 +420,15 @@
 {
 	struct net *n = entry->net;
 	struct mh_msg *m = mh_msg_new(MH_MSG_REQUEST);
-	struct net_answer *ans = g_new0(struct net_answer, 1);
+	struct net_answer *resp = g_new0(struct net_answer, 1);
 	const char *body = a->body == NULL ? "{\"input\":\"x\"}" : a->body;
 
-	ans->caller = ++n->next_caller;
-	ans->body = g_string_new(NULL);
+	resp->caller = ++n->next_caller;
+	resp->body = g_string_new(NULL);
 	if (a->once != NULL)
-		ans->once = g_strconcat("acme/", a->once, NULL);
-	g_hash_table_insert(n->answers, &ans->caller, ans);
-	m->u.request.id = ans->caller;
+		resp->once = g_strconcat("acme/", a->once, NULL);
+	g_hash_table_insert(n->answers, &resp->caller, resp);
+	m->u.request.id = resp->caller;
 	m->u.request.method = g_strdup(a->method == NULL ? "POST" : a->method);
 	m->u.request.path = g_strdup(a->path);
 	m->u.request.key = g_strdup(a->key == NULL ? "party-key" : a->key);
@@ -431,7 +437,7 @@
 	m->u.request.deadline_us = a->deadline_us;
 	m->u.request.body = g_bytes_new(body, strlen(body));
 	mh_post(entry->k, "entry", m);
-	return ans->caller;
+	return resp->caller;
 }
 
 void
@@ -473,10 +479,10 @@
 {
 	GHashTableIter it;
 	gpointer v;
-	uint32_t most = 0;
+	uint32_t max = 0;
 
 	g_hash_table_iter_init(&it, n->audit);
 	while (g_hash_table_iter_next(&it, NULL, &v))
-		most = MAX(most, GPOINTER_TO_UINT(v));
-	return most;
+		max = MAX(max, GPOINTER_TO_UINT(v));
+	return max;
 }
--- a/regress/netfake.h
+++ b/regress/netfake.h
@@ -3,16 +3,23 @@
 
 #include "net.h"
 
-/* What net.c and netfake.c share. */
+/* Shared by net.c and netfake.c. */
 
-#define KV_ANSWER_US 2000 /* "it answers in milliseconds" */
-#define LIST_ANSWER_US 1000
+#define KV_LATENCY_US 2000
+#define LIST_LATENCY_US 1000
 
-struct wire;
+struct net_link;
 
-/** net_deliver() - @m reaches @service of @to later, if it still runs. */
+/**
+ * net_deliver() - posts @m to @service of @to after @after_us.
+ * @link: the link that it passes, NULL: none
+ * @to_a: whether @to is at end a of @link
+ *
+ * @m is dropped if @to has ended or restarted by then, or @link is closed or
+ * drops frames to that end.
+ */
 void net_deliver(struct net_node *to, const char *service, struct mh_msg *m,
-    int64_t after_us, struct wire *wire, bool to_a);
+    int64_t after_us, struct net_link *link, bool to_a);
 
 /* netfake.c */
 void net_free_value(void *arg);
--- a/regress/t_fuzz.c
+++ b/regress/t_fuzz.c
@@ -1,7 +1,7 @@
 /**
- * DOC: Seeded mutation of everything that others send us: frames, the
- * declaration document, the VM list, the owners' table, callers' bodies.
- * Bounded in count; run under the sanitizers by make check.
+ * DOC: Fuzzing of untrusted input by seeded mutation: frames, the declaration
+ * document, the VM list, the owners' table, request bodies.  The number of
+ * rounds is fixed; make check runs this under the sanitizers.
  */
 
 #include "net.h"
@@ -42,7 +42,7 @@
 }
 
 static GBytes *
-good_frame(int kind)
+valid_frame(int kind)
 {
 	Mh__Frame f = MH__FRAME__INIT;
 	Mh__Call c = MH__CALL__INIT;
@@ -96,7 +96,7 @@
 	return mh_frame_pack(&f);
 }
 
-/* A peer's frames, mutated, into a live entry and a live side process. */
+/* Posts mutated frames to a running entry and a running side process. */
 static void
 test_frames(void)
 {
@@ -109,14 +109,14 @@
 	nodes[1] = net_entry(n, "entry1", "a");
 	net_run(n, 3 * MH_US_PER_S);
 	for (int i = 0; i < ROUNDS; i++) {
-		GBytes *good = good_frame(i % 5);
+		GBytes *valid = valid_frame(i % 5);
 		gsize len;
-		const void *data = g_bytes_get_data(good, &len);
+		const void *data = g_bytes_get_data(valid, &len);
 		struct mh_msg *m = mh_msg_new(MH_MSG_FRAME);
 
 		m->u.link.conn = 1 + (uint64_t)(i % 3);
 		m->u.link.frame = mutate(g, data, len);
-		g_bytes_unref(good);
+		g_bytes_unref(valid);
 		mh_post(nodes[i % 2]->k, "hub", m);
 		if (i % 50 == 0)
 			net_run(n, 5 * MH_US_PER_MS);
@@ -131,23 +131,23 @@
 test_declarations(void)
 {
 	GRand *g = g_rand_new_with_seed(12);
-	int good = 0;
+	int valid = 0;
 
 	for (int i = 0; i < ROUNDS; i++) {
 		GBytes *b = mutate(g, net_doc, strlen(net_doc));
 		GError *err = NULL;
 		struct mh_decl *d = mh_decl_read(b, &err);
 
-		/* Either a whole document, or an error that says where. */
+		/* Either a valid document, or an error with its line. */
 		CU_ASSERT((d == NULL) == (err != NULL));
 		if (err != NULL)
 			CU_ASSERT_PTR_NOT_NULL(strstr(err->message, "line "));
-		good += d != NULL;
+		valid += d != NULL;
 		g_clear_error(&err);
 		mh_decl_unref(d);
 		g_bytes_unref(b);
 	}
-	CU_ASSERT(good > 0 && good < ROUNDS);
+	CU_ASSERT(valid > 0 && valid < ROUNDS);
 	g_rand_free(g);
 }
 
@@ -189,7 +189,7 @@
 	GRand *g = g_rand_new_with_seed(14);
 	struct net *n = net_create(14);
 	struct net_node *e;
-	int answered = 0, asked = 0;
+	int answered = 0, sent = 0;
 
 	net_apply(n, 1, net_doc);
 	net_side(n, "enc0", "enc", "a", 4);
@@ -205,13 +205,13 @@
 		uint64_t id = net_request(e, &a);
 
 		net_run(n, 20 * MH_US_PER_MS);
-		asked++;
+		sent++;
 		answered += net_answer(n, id)->status == 200 ||
 		    net_answer(n, id)->status == 400;
 		g_free(text);
 		g_bytes_unref(b);
 	}
-	CU_ASSERT_EQUAL(answered, asked);
+	CU_ASSERT_EQUAL(answered, sent);
 	net_destroy(n);
 	g_rand_free(g);
 }
--- a/regress/t_nodes.c
+++ b/regress/t_nodes.c
@@ -1,6 +1,6 @@
 /**
- * DOC: Many nodes together: membership, configuration in force everywhere,
- * limits over all entries, a failure domain cut off.
+ * DOC: Many simulated nodes: membership, distribution of the configuration,
+ * limits over all entries, loss of a failure domain.
  */
 
 #include "net.h"
@@ -20,7 +20,7 @@
 static const char *const domains[] = { "a", "b", "c" };
 
 static void
-make(struct nodes *w, uint32_t seed, const char *doc)
+create_nodes(struct nodes *w, uint32_t seed, const char *doc)
 {
 	char vm[24];
 
@@ -50,13 +50,13 @@
 	return true;
 }
 
-/* Virtual time until every running node has @generation, -1 for never. */
+/* Virtual time until every running node has @generation, -1 on timeout. */
 static int64_t
-time_until(struct nodes *w, uint64_t generation, int64_t longest_us)
+time_to_apply(struct nodes *w, uint64_t generation, int64_t timeout_us)
 {
 	int64_t start = net_now(w->n);
 
-	while (net_now(w->n) - start < longest_us) {
+	while (net_now(w->n) - start < timeout_us) {
 		if (all_have(w, generation))
 			return net_now(w->n) - start;
 		net_run(w->n, 10 * MH_US_PER_MS);
@@ -70,24 +70,24 @@
 	struct nodes w;
 	int64_t us;
 
-	make(&w, 1, net_doc);
+	create_nodes(&w, 1, net_doc);
 	CU_ASSERT_TRUE(all_have(&w, 1));
 	for (uint64_t g = 2; g < 12; g++) {
 		net_apply(w.n, g, net_doc);
-		us = time_until(&w, g, 9 * MH_US_PER_S);
+		us = time_to_apply(&w, g, 9 * MH_US_PER_S);
 		CU_ASSERT(us >= 0 && us < 3 * MH_US_PER_S);
 	}
 	net_destroy(w.n);
 }
 
-/* Watchers are few: a waiting watch counts as a call to the KV service. */
+/* Each watcher holds a call to the KV service open, so there must be few. */
 static void
 test_few_watch_the_platform(void)
 {
 	struct nodes w;
 	int conf = 0;
 
-	make(&w, 2, net_doc);
+	create_nodes(&w, 2, net_doc);
 	for (guint i = 0; i < w.n->nodes->len; i++) {
 		struct net_node *x = w.n->nodes->pdata[i];
 
@@ -98,15 +98,15 @@
 }
 
 /*
- * An operator applies, then the KV service goes out and a node starts.  It
- * has no platform to ask; its peers tell it.
+ * A configuration is applied, then the KV service fails and nodes start.  They
+ * must get the configuration from their peers.
  */
 static void
 test_start_during_an_outage(void)
 {
 	struct nodes w;
 
-	make(&w, 3, net_doc);
+	create_nodes(&w, 3, net_doc);
 	net_apply(w.n, 2, net_doc);
 	net_run(w.n, 3 * MH_US_PER_S);
 	w.n->kv_down = true;
@@ -115,20 +115,20 @@
 	net_run(w.n, MH_US_PER_S);
 	net_start(w.e[4]);
 	net_start(w.s[7]);
-	CU_ASSERT(time_until(&w, 2, 9 * MH_US_PER_S) >= 0);
+	CU_ASSERT(time_to_apply(&w, 2, 9 * MH_US_PER_S) >= 0);
 	net_destroy(w.n);
 }
 
-/* The KV service comes back older than what is in force: nothing reverts. */
+/* A KV service restored with an older configuration must revert nothing. */
 static void
 test_restored_kv_reverts_nothing(void)
 {
 	struct nodes w;
 
-	make(&w, 4, net_doc);
+	create_nodes(&w, 4, net_doc);
 	net_apply(w.n, 2, net_doc);
 	net_apply(w.n, 3, net_doc);
-	CU_ASSERT(time_until(&w, 3, 9 * MH_US_PER_S) >= 0);
+	CU_ASSERT(time_to_apply(&w, 3, 9 * MH_US_PER_S) >= 0);
 	w.n->kv_down = true;
 	net_run(w.n, 2 * MH_US_PER_S);
 	net_apply(w.n, 2, net_doc);
@@ -137,22 +137,22 @@
 	net_run(w.n, 10 * MH_US_PER_S);
 	CU_ASSERT_TRUE(all_have(&w, 3));
 	net_apply(w.n, 4, net_doc);
-	CU_ASSERT(time_until(&w, 4, 9 * MH_US_PER_S) >= 0);
+	CU_ASSERT(time_to_apply(&w, 4, 9 * MH_US_PER_S) >= 0);
 	net_destroy(w.n);
 }
 
-/* A document that is not valid was put by hand: the good one stays. */
+/* An invalid document in the KV service must not replace the valid one. */
 static void
 test_bad_document_is_not_taken(void)
 {
 	struct nodes w;
 
-	make(&w, 5, net_doc);
+	create_nodes(&w, 5, net_doc);
 	net_apply(w.n, 2, "classes: oops");
 	net_run(w.n, 5 * MH_US_PER_S);
 	CU_ASSERT_TRUE(all_have(&w, 1));
 	net_apply(w.n, 3, net_doc);
-	CU_ASSERT(time_until(&w, 3, 9 * MH_US_PER_S) >= 0);
+	CU_ASSERT(time_to_apply(&w, 3, 9 * MH_US_PER_S) >= 0);
 	net_destroy(w.n);
 }
 
@@ -168,7 +168,7 @@
 serve(struct nodes *w, int count, int64_t each_us)
 {
 	uint64_t *ids = g_new(uint64_t, count);
-	int good = 0;
+	int succeeded = 0;
 
 	for (int i = 0; i < count; i++) {
 		struct net_node *e = w->e[i % ENTRIES];
@@ -180,12 +180,12 @@
 	}
 	net_run(w->n, 5 * MH_US_PER_S);
 	for (int i = 0; i < count; i++)
-		good += net_answer(w->n, ids[i])->status == 200;
+		succeeded += net_answer(w->n, ids[i])->status == 200;
 	g_free(ids);
-	return good;
+	return succeeded;
 }
 
-/* Guards against half a configuration that is not read once more. */
+/* A document that was read in part must be read again. */
 static void
 test_half_a_configuration(void)
 {
@@ -205,7 +205,7 @@
 	net_destroy(n);
 }
 
-/* Guards against a watch that is asked again without a pause. */
+/* A watch that returns at once must not be repeated without a pause. */
 static void
 test_watches_that_do_not_wait(void)
 {
@@ -222,19 +222,19 @@
 	net_run(n, MH_US_PER_S);
 	calls = n->kv_calls;
 	net_run(n, 10 * MH_US_PER_S);
-	/* Three watches, each three times a second. */
+	/* At most three watches, each three times a second. */
 	CU_ASSERT(n->kv_calls - calls <= 90);
 	CU_ASSERT_EQUAL(mh_conf_generation(e->k), 2);
 	net_destroy(n);
 }
 
-/* The VM list is out for a minute: nobody stops serving. */
+/* While the VM list fails for a minute every entry keeps serving. */
 static void
 test_missing_list_changes_nothing(void)
 {
 	struct nodes w;
 
-	make(&w, 6, net_doc);
+	create_nodes(&w, 6, net_doc);
 	w.n->vmlist_down = true;
 	net_run(w.n, 60 * MH_US_PER_S);
 	CU_ASSERT_EQUAL(serve(&w, 100, 5 * MH_US_PER_MS), 100);
@@ -242,16 +242,16 @@
 }
 
 /*
- * A whole failure domain vanishes without a word: links stay open and say
- * nothing.  The entries left serve on; what was under way there goes
- * elsewhere.
+ * A whole failure domain is lost while its links stay open without traffic.
+ * The remaining entries must keep serving and retry elsewhere what was in
+ * flight there.
  */
 static void
 test_failure_domain_vanishes(void)
 {
 	struct nodes w;
 
-	make(&w, 7, net_doc);
+	create_nodes(&w, 7, net_doc);
 	for (int i = 0; i < SIDES; i += 3)
 		net_vanish(w.s[i]);
 	for (int i = 0; i < ENTRIES; i += 3) {
@@ -262,14 +262,14 @@
 	net_destroy(w.n);
 }
 
-/* Churn as on an ordinary day, at three hundred times its pace. */
+/* Processes and VMs fail at three hundred times an ordinary day's rate. */
 static void
 test_churn(void)
 {
 	struct nodes w;
-	int good = 0, asked = 0;
+	int succeeded = 0, sent = 0;
 
-	make(&w, 8, net_doc);
+	create_nodes(&w, 8, net_doc);
 	for (int i = 0; i < 60; i++) {
 		struct net_node *x = w.s[mh_random(w.n->k) % SIDES];
 
@@ -279,19 +279,19 @@
 			net_vanish(x);
 		else
 			net_kill(x);
-		good += serve(&w, 20, 5 * MH_US_PER_MS);
-		asked += 20;
+		succeeded += serve(&w, 20, 5 * MH_US_PER_MS);
+		sent += 20;
 		if (x->k == NULL)
 			net_start(x);
 	}
-	CU_ASSERT(good * 1000 >= asked * 997);
+	CU_ASSERT(succeeded * 1000 >= sent * 997);
 	net_destroy(w.n);
 }
 
 /*
- * Two entries dial each other at the same moment, each taking the other's
- * link for an old one of its own: both closed and dialed for ever, and a
- * core was busy with nothing.
+ * Two entries dial each other at the same moment.  If each took the peer's
+ * link for an old one of its own, both would close and dial for ever and keep
+ * a core busy.
  */
 static void
 test_mutual_dial_settles(void)
@@ -299,7 +299,7 @@
 	struct nodes w;
 	uint64_t frames;
 
-	make(&w, 11, net_doc);
+	create_nodes(&w, 11, net_doc);
 	for (int i = 0; i < 2; i++)
 		mh_member_dial(
 		    w.e[i]->k, mh_member_find(w.e[i]->k, w.e[1 - i]->vm));
@@ -313,8 +313,8 @@
 }
 
 /*
- * Two entries before sixty encoders: with twenty links each, a third of the
- * encoders stood idle while the others were full.
+ * Two entries and sixty encoders: with twenty links per entry a third of the
+ * encoders would stay idle while the others are full.
  */
 static void
 test_every_endpoint_is_linked(void)
@@ -340,14 +340,14 @@
 	net_destroy(n);
 }
 
-/* Two calls of one VM: the subset moves only with what changed. */
+/* Without a change of the VM list KV calls and frames must stay few. */
 static void
 test_subset_is_stable(void)
 {
 	struct nodes w;
 	uint64_t calls, frames;
 
-	make(&w, 9, net_doc);
+	create_nodes(&w, 9, net_doc);
 	calls = w.n->kv_calls;
 	frames = w.n->frames;
 	net_run(w.n, 30 * MH_US_PER_S);
@@ -357,9 +357,9 @@
 }
 
 /*
- * One organisation's limit holds over all entries though its traffic comes
- * through few of them: over by at most 5%, unused by at most 10%.  Asked of
- * the limit services themselves, each request using all it reserved.
+ * An organisation's limit must hold over all entries though few of them get
+ * most of its traffic: exceeded by at most 5%, at most 10% of it unused.
+ * Drives the limit services directly; each request uses all it reserved.
  */
 static void
 test_limit_over_all_entries(void)
@@ -370,17 +370,17 @@
 	    "{name: acme, units_per_s: 1000, burst_units: 100,", p[1], NULL);
 	double units = 0;
 
-	make(&w, 10, doc);
+	create_nodes(&w, 10, doc);
 	for (int i = 0; i < 24000; i++) {
 		/* Two entries of twelve get nine tenths of the traffic. */
 		struct net_node *e =
 		    w.e[i % 10 == 0 ? i / 10 % ENTRIES : i % 2];
-		const struct mh_key_owner *who =
+		const struct mh_key_owner *key =
 		    mh_decl_find_key(mh_conf_get(e->k), "party-key");
 		struct mh_limit_ticket t = { .org = NULL };
 
 		net_tick(e);
-		if (mh_limit_take(e->k, who, 10, &t) == 0) {
+		if (mh_limit_take(e->k, key, 10, &t) == 0) {
 			mh_limit_settle(e->k, &t, 10);
 			units += i >= 4000 ? 10 : 0;
 		}
