--- a/regress/t_platform.c
+++ b/regress/t_platform.c
@@ -1,6 +1,7 @@
 /**
- * DOC: Contract tables of the users' platform: settings, configuration,
- * headers in and out.  Rows of the registry are in t_platform_rows.
+ * DOC: Tests of the formats of the users' platform: settings, configuration,
+ * headers of requests and responses.  Rows of the registry are tested in
+ * t_platform_rows.c.
  */
 
 #include "platform.h"
@@ -34,29 +35,29 @@
 	struct plat_settings *s = read_settings(good_settings, NULL);
 
 	if (s == NULL) {
-		CU_FAIL("nothing came back");
+		CU_FAIL("no settings returned");
 		return;
 	}
 	CU_ASSERT_STRING_EQUAL(s->node, "e1");
 	CU_ASSERT_STRING_EQUAL(s->domain, "z");
-	CU_ASSERT_STRING_EQUAL(s->store, "10.0.0.9:90");
+	CU_ASSERT_STRING_EQUAL(s->store_addr, "10.0.0.9:90");
 	CU_ASSERT_EQUAL(s->ports_from, 7000);
 	CU_ASSERT_EQUAL(s->ports_to, 7015);
 	CU_ASSERT_EQUAL(s->drain_us, 2 * MH_US_PER_S);
 	CU_ASSERT_EQUAL(s->grace_us, 8 * MH_US_PER_S);
 	CU_ASSERT_DOUBLE_EQUAL(s->cpu_share, 0.25, 1e-9);
-	CU_ASSERT_DOUBLE_EQUAL(s->repeat_slack, 52, 1e-9);
+	CU_ASSERT_DOUBLE_EQUAL(s->retry_slack, 52, 1e-9);
 	plat_settings_free(s);
 }
 
-/** struct spoil - one change of the good settings that makes them bad. */
-struct spoil {
+/** struct mutation - a change of a valid text that makes it invalid. */
+struct mutation {
 	const char *from;
 	const char *to;
-	const char *names; /* what the message must name */
+	const char *names; /* the error message must contain this */
 };
 
-static const struct spoil spoils[] = {
+static const struct mutation bad_settings[] = {
 	{ "node: \"e1\"\n", "", "node" },
 	{ "\"10.0.0.1:80\"", "\"10.0.0.1\"", "listen.front" },
 	{ "\"10.0.0.9:90\"", "\"store\"", "provider.address" },
@@ -70,17 +71,19 @@
 static void
 test_bad_settings(void)
 {
-	for (size_t i = 0; i < G_N_ELEMENTS(spoils); i++) {
-		gchar **parts = g_strsplit(good_settings, spoils[i].from, 2);
-		char *text = g_strjoinv(spoils[i].to, parts);
+	for (size_t i = 0; i < G_N_ELEMENTS(bad_settings); i++) {
+		gchar **parts =
+		    g_strsplit(good_settings, bad_settings[i].from, 2);
+		char *text = g_strjoinv(bad_settings[i].to, parts);
 		GError *err = NULL;
 
 		CU_ASSERT_PTR_NULL(read_settings(text, &err));
 		if (err == NULL) {
-			CU_FAIL("nothing came back");
+			CU_FAIL("no error returned");
 			return;
 		}
-		CU_ASSERT_PTR_NOT_NULL(strstr(err->message, spoils[i].names));
+		CU_ASSERT_PTR_NOT_NULL(
+		    strstr(err->message, bad_settings[i].names));
 		g_error_free(err);
 		g_free(text);
 		g_strfreev(parts);
@@ -121,7 +124,7 @@
 	struct mh_gorg *o;
 
 	if (c == NULL) {
-		CU_FAIL("nothing came back");
+		CU_FAIL("no configuration returned");
 		return;
 	}
 	CU_ASSERT_EQUAL(c->version, 7);
@@ -158,7 +161,7 @@
 }
 
 static char *
-spoilt(const char *text, const char *from, const char *to)
+replace_all(const char *text, const char *from, const char *to)
 {
 	gchar **parts = g_strsplit(text, from, -1);
 	char *out = g_strjoinv(to, parts);
@@ -167,11 +170,12 @@
 	return out;
 }
 
-/* Guards against a change whose cost is that of all routes. */
+/* Guards against a change of one route that decodes all of them again. */
 static void
 test_conf_shares_routes(void)
 {
-	char *text = spoilt(good_conf, "\"name\":\"r2\"", "\"name\":\"r9\"");
+	char *text =
+	    replace_all(good_conf, "\"name\":\"r2\"", "\"name\":\"r9\"");
 	struct mh_gconf *a =
 	    plat_conf_decode(good_conf, strlen(good_conf), NULL, NULL);
 	struct mh_gconf *b = plat_conf_decode(text, strlen(text), a, NULL);
@@ -210,12 +214,12 @@
 	return true;
 }
 
-/* An escaped name of the list is read as a whole, by the parser alone. */
+/* With an escape in the name of the list a text is decoded as a whole. */
 static bool
-reads_the_same(const char *text, const struct mh_gconf *before)
+decodes_equally(const char *text, const struct mh_gconf *prev)
 {
-	char *whole = spoilt(text, "\"routes\"", "\"rout\\u0065s\"");
-	struct mh_gconf *a = plat_conf_decode(text, strlen(text), before, NULL);
+	char *whole = replace_all(text, "\"routes\"", "\"rout\\u0065s\"");
+	struct mh_gconf *a = plat_conf_decode(text, strlen(text), prev, NULL);
 	struct mh_gconf *b = plat_conf_decode(whole, strlen(whole), NULL, NULL);
 	bool same = same_conf(a, b);
 
@@ -225,7 +229,7 @@
 	return same;
 }
 
-/* Guards against a text that is read otherwise in parts than as a whole. */
+/* Guards against a text that decodes differently in parts than as a whole. */
 static void
 test_conf_in_parts(void)
 {
@@ -240,14 +244,14 @@
 		"{\"routes\":[],\"r\\u006futes\":[{}]}", "{\"routes\":[\"]\"]}",
 		"{\"routes\":[[\"}\"],null]}",
 		"{\"routes\":null,\"version\":4}", "{\"version\":4}" };
-	static const char spoil[] = "{}[]\",:\\ 0ae";
-	struct mh_gconf *before =
+	static const char chars[] = "{}[]\",:\\ 0ae";
+	struct mh_gconf *prev =
 	    plat_conf_decode(good_conf, strlen(good_conf), NULL, NULL);
 	GRand *rand = g_rand_new_with_seed(39);
 
 	for (size_t i = 0; i < G_N_ELEMENTS(odd); i++) {
-		CU_ASSERT_TRUE(reads_the_same(odd[i], NULL));
-		CU_ASSERT_TRUE(reads_the_same(odd[i], before));
+		CU_ASSERT_TRUE(decodes_equally(odd[i], NULL));
+		CU_ASSERT_TRUE(decodes_equally(odd[i], prev));
 	}
 	for (int i = 0; i < 4000; i++) {
 		char *text = g_strdup(good_conf);
@@ -256,18 +260,18 @@
 		for (int n = 0; n < changes; n++)
 			text[g_rand_int_range(
 			    rand, 0, (gint32)strlen(good_conf))] =
-			    spoil[g_rand_int_range(
-				rand, 0, (gint32)strlen(spoil))];
-		if (!reads_the_same(text, before))
-			printf("\n  read otherwise: %s\n", text);
-		CU_ASSERT_TRUE(reads_the_same(text, before));
+			    chars[g_rand_int_range(
+				rand, 0, (gint32)strlen(chars))];
+		if (!decodes_equally(text, prev))
+			printf("\n  decodes differently in parts: %s\n", text);
+		CU_ASSERT_TRUE(decodes_equally(text, prev));
 		g_free(text);
 	}
 	g_rand_free(rand);
-	mh_gconf_unref(before);
+	mh_gconf_unref(prev);
 }
 
-static const struct spoil conf_spoils[] = {
+static const struct mutation bad_confs[] = {
 	{ "\"version\":7", "\"version\":", "line" },
 	{ "\"host\":\"a.example\",\"pathPrefix\":\"/x/\"",
 	    "\"host\":\"a.example\"", "pathPrefix" },
@@ -281,41 +285,41 @@
 static void
 test_bad_conf(void)
 {
-	for (size_t i = 0; i < G_N_ELEMENTS(conf_spoils); i++) {
-		const struct spoil *p = &conf_spoils[i];
-		gchar **parts = g_strsplit(good_conf, p->from, 2);
-		char *text = g_strjoinv(p->to, parts);
+	for (size_t i = 0; i < G_N_ELEMENTS(bad_confs); i++) {
+		const struct mutation *m = &bad_confs[i];
+		gchar **parts = g_strsplit(good_conf, m->from, 2);
+		char *text = g_strjoinv(m->to, parts);
 		GError *err = NULL;
 
 		CU_ASSERT_PTR_NULL(
 		    plat_conf_decode(text, strlen(text), NULL, &err));
 		if (err == NULL) {
-			CU_FAIL("nothing came back");
+			CU_FAIL("no error returned");
 			return;
 		}
-		CU_ASSERT_PTR_NOT_NULL(strstr(err->message, p->names));
+		CU_ASSERT_PTR_NOT_NULL(strstr(err->message, m->names));
 		g_error_free(err);
 		g_free(text);
 		g_strfreev(parts);
 	}
 }
 
-/* the answer's head */
+/* response heads */
 
-/** struct head - an endpoint's head and what it says. */
+/** struct head - a response head of an endpoint and what it decodes to. */
 struct head {
 	const char *name;
 	uint32_t status;
 	const char *fields; /* "Name: value;..." */
 	bool not_run;
-	bool moved;
-	bool inputs_gone;
+	bool addr_reused;
+	bool inputs_lost;
 	bool genuine;
 	bool events;
 };
 
 static const struct head heads[] = {
-	{ "an answer", 200, "X-Response-Stamp: a", false, false, false, true,
+	{ "a response", 200, "X-Response-Stamp: a", false, false, false, true,
 	    false },
 	{ "a stream", 200,
 	    "X-Response-Stamp: a;Content-Type: text/event-stream", false, false,
@@ -324,14 +328,14 @@
 	{ "encoded", 200, "X-Response-Stamp: a;Content-Encoding: gzip", false,
 	    false, false, false, false },
 	{ "shed", 503, "X-Not-Executed: 1", true, false, false, false, false },
-	{ "503 without the word that it did not run", 503,
+	{ "503 that doesn't say that it did not run", 503,
 	    "X-Response-Stamp: a", false, false, false, true, false },
-	{ "another has the address", 421, "X-Instance-Id: j", true, true, false,
-	    false, false },
-	{ "inputs gone", 409, "X-Not-Executed: 1", true, false, true, false,
+	{ "address used by another endpoint", 421, "X-Instance-Id: j", true,
+	    true, false, false, false },
+	{ "inputs lost", 409, "X-Not-Executed: 1", true, false, true, false,
 	    false },
-	{ "409 of its own", 409, "X-Response-Stamp: a", false, false, false,
-	    true, false },
+	{ "409 of the application", 409, "X-Response-Stamp: a", false, false,
+	    false, true, false },
 };
 
 static void
@@ -351,8 +355,8 @@
 		}
 		plat_ans_decode(w->status, h, &a);
 		CU_ASSERT_EQUAL(a.not_run, w->not_run);
-		CU_ASSERT_EQUAL(a.moved, w->moved);
-		CU_ASSERT_EQUAL(a.inputs_gone, w->inputs_gone);
+		CU_ASSERT_EQUAL(a.moved, w->addr_reused);
+		CU_ASSERT_EQUAL(a.inputs_gone, w->inputs_lost);
 		CU_ASSERT_EQUAL(a.genuine, w->genuine);
 		CU_ASSERT_EQUAL(a.events, w->events);
 		g_strfreev(f);
@@ -380,13 +384,16 @@
 	mh_headers_destroy(h);
 }
 
-/* Guards against a fourth figure that spoils the three, or is nonsense. */
+/*
+ * Guards against an invalid fourth figure that is used, or that makes the three
+ * before it unused.
+ */
 static void
 test_pace(void)
 {
 	static const struct {
 		const char *text;
-		bool told;
+		bool has_load;
 		uint32_t percent;
 	} t[] = {
 		{ "3,1,8", true, 0 },
@@ -407,7 +414,7 @@
 
 		mh_headers_add(h, "X-Instance-Load", t[i].text);
 		plat_ans_decode(200, h, &a);
-		CU_ASSERT_EQUAL(a.told, t[i].told);
+		CU_ASSERT_EQUAL(a.told, t[i].has_load);
 		CU_ASSERT_EQUAL(a.pace_percent, t[i].percent);
 		if (a.told)
 			CU_ASSERT_EQUAL(a.slots, 8);
@@ -415,7 +422,7 @@
 	}
 }
 
-/* Only statuses that promise "not run" are given where that is true. */
+/* Guards against a status that means "not run" for a request that was run. */
 static void
 test_refusals(void)
 {
@@ -436,7 +443,7 @@
 	}
 }
 
-/** struct report_row - what a stage endpoint tells, and how it is taken. */
+/** struct report_row - a report of a stage endpoint and what it decodes to. */
 struct report_row {
 	const char *text;
 	bool ok;
@@ -477,12 +484,12 @@
 }
 
 /*
- * An answer of the store or of a stage endpoint is longer than we take.  With
- * the piece that did not fit left out and the next one kept, what had a gap
- * could be read as a whole answer, with rows or results missing.
+ * Guards against a response of the store or of a stage endpoint that exceeds
+ * the limit and parses as complete, with rows or results missing.  It happens
+ * if data that doesn't fit is dropped and shorter data after it is appended.
  */
 static void
-test_no_gap_in_an_answer(void)
+test_no_gap_in_body(void)
 {
 	GByteArray *body = g_byte_array_new();
 
@@ -495,18 +502,19 @@
 }
 
 const struct test tests_platform[] = {
-	{ "settings: decoded once", test_settings },
-	{ "settings: what is wrong is named", test_bad_settings },
-	{ "configuration: decoded once", test_conf },
-	{ "configuration: what is wrong is named", test_bad_conf },
+	{ "settings: decoding", test_settings },
+	{ "settings: errors name the field", test_bad_settings },
+	{ "configuration: decoding", test_conf },
+	{ "configuration: errors name the field", test_bad_conf },
 	{ "configuration: versions share their routes",
 	    test_conf_shares_routes },
-	{ "configuration: read in parts as a whole", test_conf_in_parts },
-	{ "answers: what a head says", test_heads },
-	{ "answers: load", test_load },
-	{ "platform: how long work takes there", test_pace },
-	{ "answers: our own", test_refusals },
+	{ "configuration: decoded in parts and as a whole",
+	    test_conf_in_parts },
+	{ "responses: decoding of heads", test_heads },
+	{ "responses: load", test_load },
+	{ "responses: slowdown in the load header", test_pace },
+	{ "responses: refusals by the entry", test_refusals },
 	{ "platform: reports of stage endpoints", test_reports },
-	{ "platform: no gap in an answer", test_no_gap_in_an_answer },
+	{ "platform: no gap in a response body", test_no_gap_in_body },
 	{ NULL, NULL },
 };
