--- a/regress/t_platform_rows.c
+++ b/regress/t_platform_rows.c
@@ -1,6 +1,6 @@
 /**
- * DOC: The registry of endpoints: rows of endpoints and of other writers,
- * endpoints that start again, what entries tell each other of it.
+ * DOC: The registry of endpoints: rows written by endpoints and by other
+ * programs, rows exchanged between entries, endpoints that restart.
  */
 
 #include "platform.h"
@@ -12,7 +12,7 @@
 
 #define MS MH_US_PER_MS
 #define S MH_US_PER_S
-#define BORN_MS 1784044378752 /* when an endpoint started */
+#define START_MS 1784044378752 /* start time of an endpoint */
 
 /* rows, one by one */
 
@@ -28,24 +28,24 @@
 	    plat_row_decode("i", good_row, strlen(good_row), NULL);
 
 	if (r == NULL) {
-		CU_FAIL("nothing came back");
+		CU_FAIL("a valid row was refused");
 		return;
 	}
 	CU_ASSERT_STRING_EQUAL(r->name, "i");
 	CU_ASSERT_STRING_EQUAL(r->pool, "s");
 	CU_ASSERT_STRING_EQUAL(r->domain, "z");
 	CU_ASSERT_EQUAL(r->capacity, 64);
-	CU_ASSERT_EQUAL(r->born_ms, BORN_MS);
+	CU_ASSERT_EQUAL(r->born_ms, START_MS);
 	CU_ASSERT_TRUE(r->leaving);
 	CU_ASSERT_EQUAL(r->warm_us, 5 * MS);
 	plat_row_free(r);
 }
 
-/** struct foreign - one change that makes a row no endpoint's. */
+/** struct foreign - a change that makes a row invalid. */
 struct foreign {
 	const char *from;
 	const char *to;
-	const char *names; /* what the reason must name */
+	const char *names; /* field that the error must name */
 };
 
 static const struct foreign foreigns[] = {
@@ -85,8 +85,8 @@
 
 /*
  * Another program writes rows of its own into the registry.  A row without a
- * state was taken for a ready endpoint, one with a capacity in quotes for one
- * with a single place: requests went to addresses where nobody served them.
+ * state was used as a ready endpoint, one with a quoted capacity as an endpoint
+ * with a single slot, and requests went to addresses where nothing served them.
  */
 static void
 test_foreign_rows(void)
@@ -100,7 +100,7 @@
 		CU_ASSERT_PTR_NULL(
 		    plat_row_decode("i", text, strlen(text), &err));
 		if (err == NULL) {
-			CU_FAIL("nothing came back");
+			CU_FAIL("no error was set");
 			return;
 		}
 		CU_ASSERT_PTR_NOT_NULL(strstr(err->message, foreigns[i].names));
@@ -110,7 +110,7 @@
 	}
 }
 
-/* A name goes into a header of each request: "i\r\nX: y" would add one. */
+/* Names go into a header of each request: "i\r\nX: y" would add a header. */
 static void
 test_foreign_names(void)
 {
@@ -128,7 +128,7 @@
 	CU_ASSERT_PTR_NULL(plat_row_decode("i", NULL, 0, NULL));
 }
 
-/* Any bytes: read or refused, never half of each. */
+/* Any bytes are either decoded or refused with an error. */
 static void
 test_rows_mutated(void)
 {
@@ -158,7 +158,7 @@
 	mh_kern_destroy(k);
 }
 
-/* what entries tell each other of the registry */
+/* rows exchanged between entries */
 
 static char *
 item_of(const char *id, uint64_t revision, const char *row)
@@ -188,12 +188,12 @@
 }
 
 static void
-take(struct plat_view *v, uint64_t revision, uint64_t since, const char *items,
-    const char *gone, int count)
+receive(struct plat_view *v, uint64_t revision, uint64_t since,
+    const char *items, const char *removals, int count)
 {
 	char *text = g_strdup_printf("{\"items\":[%s],\"gone\":[%s],"
 				     "\"since\":%" PRIu64 ",\"count\":%d}",
-	    items, gone, since, count);
+	    items, removals, since, count);
 
 	plat_view_take_rows(v, revision, text, strlen(text));
 	g_free(text);
@@ -207,7 +207,7 @@
 }
 
 static bool
-is_reader(void *arg)
+no(void *arg)
 {
 	(void)arg;
 	return false;
@@ -220,7 +220,7 @@
 	(void)c;
 }
 
-/** struct vrig - a view of the registry that is told its rows. */
+/** struct vrig - a view of the registry that receives its rows from peers. */
 struct vrig {
 	struct mh_kern *k;
 	struct mh_loop *l;
@@ -233,8 +233,8 @@
 static void
 open_view(struct vrig *r)
 {
-	struct plat_view_fns fns = { no_conf, no_evacuated, is_reader,
-		is_reader, is_reader, NULL, 2 * S, NULL };
+	struct plat_view_fns fns = { no_conf, no_evacuated, no, no, no, NULL,
+		2 * S, NULL };
 
 	r->k = mh_kern_create(1);
 	r->l = mh_loop_create(r->k, NULL);
@@ -256,9 +256,9 @@
 }
 
 /*
- * A change of one row sent every row to every entry.  Now the change alone is
- * sent; where it does not fit what an entry has, all rows are asked for, so
- * that no leaving endpoint is missed.
+ * If a row changes, only that row is sent to peers.  If it doesn't fit the rows
+ * that a peer has, the peer requests all rows, so that no draining endpoint is
+ * missed.
  */
 static void
 test_registry_changes(void)
@@ -274,22 +274,22 @@
 	open_view(&r);
 	v = r.v;
 	f = r.f;
-	take(v, 5, 0, both, "", 2);
+	receive(v, 5, 0, both, "", 2);
 	CU_ASSERT_EQUAL(mh_fleet_size(f), 2);
 	CU_ASSERT_EQUAL(plat_view_rows_have(v), 5);
-	take(v, 6, 5, left, "", 2);
+	receive(v, 6, 5, left, "", 2);
 	CU_ASSERT_TRUE(mh_fleet_find(f, "b")->leaving);
 	CU_ASSERT_FALSE(mh_fleet_find(f, "a")->leaving);
-	take(v, 8, 6, c, "{\"key\":\"servers/b\",\"revision\":7}", 2);
+	receive(v, 8, 6, c, "{\"key\":\"servers/b\",\"revision\":7}", 2);
 	CU_ASSERT_PTR_NULL(mh_fleet_find(f, "b"));
 	CU_ASSERT_EQUAL(mh_fleet_size(f), 2);
-	take(v, 7, 0, both, "", 2); /* an old one changes nothing */
+	receive(v, 7, 0, both, "", 2); /* older rows change nothing */
 	CU_ASSERT_EQUAL(mh_fleet_size(f), 2);
-	take(v, 9, 8, left, "", 5); /* removed since; and the number differs */
+	receive(v, 9, 8, left, "", 5); /* removed later; wrong count */
 	CU_ASSERT_PTR_NULL(mh_fleet_find(f, "b"));
 	CU_ASSERT_EQUAL(plat_view_rows_have(v), 0);
 	CU_ASSERT_EQUAL(mh_fleet_size(f), 2);
-	take(v, 10, 0, both, "", 2);
+	receive(v, 10, 0, both, "", 2);
 	CU_ASSERT_EQUAL(plat_view_rows_have(v), 10);
 	CU_ASSERT_PTR_NOT_NULL(mh_fleet_find(f, "b"));
 	text = plat_view_rows_text(v, 5);
@@ -304,9 +304,9 @@
 	close_view(&r);
 }
 
-/* Guards against a change of one row that is told with hundreds of others. */
+/* Guards against a change of one row that is sent with hundreds of others. */
 static void
-test_registry_change_alone(void)
+test_registry_change_sent_alone(void)
 {
 	static const uint32_t sizes[] = { 100, 400 };
 	size_t bytes[2];
@@ -328,8 +328,8 @@
 			g_free(one);
 		}
 		open_view(&r);
-		take(r.v, n, 0, all->str, "", n);
-		take(r.v, n + 1, n, changed, "", n);
+		receive(r.v, n, 0, all->str, "", n);
+		receive(r.v, n + 1, n, changed, "", n);
 		text = plat_view_rows_text(r.v, n);
 		bytes[i] = g_bytes_get_size(text);
 		CU_ASSERT_PTR_NOT_NULL(
@@ -343,38 +343,38 @@
 }
 
 static void
-pass(struct vrig *r, int64_t us)
+advance(struct vrig *r, int64_t us)
 {
 	mh_kern_advance(r->k, mh_now(r->k) + us, mh_wall(r->k) + us);
 }
 
 /*
- * The store turned an entry away for ten seconds.  In that time an endpoint
- * left and its row went.  Back at the store the entry kept the row, which may
- * have lapsed with an outage, for 2.2 s; but it looked again only when the
- * registry changed the next time, and asked the endpoint 4.4 s after it had
- * said that it leaves:
+ * The store rejected an entry's calls for ten seconds.  Meanwhile an endpoint
+ * left and its row was removed.  After the outage the entry kept the row for
+ * 2.2 s, as it might only have lapsed, but then checked it only when the
+ * registry changed again.  The endpoint still got requests 4.4 s after it had
+ * announced that it leaves:
  *	18.453 store-regained away_ms=10340
  *	21.612 registry-from-peer revision=354 since=353
  *	21.612 endpoint-gone
  */
 static void
-test_lapsed_row_goes(void)
+test_lapsed_row_removed(void)
 {
 	struct vrig r;
 	char *a = row_item("a", 3, false), *b = row_item("b", 4, false);
 	char *both = g_strdup_printf("%s,%s", a, b);
 
 	open_view(&r);
-	take(r.v, 5, 0, both, "", 2);
+	receive(r.v, 5, 0, both, "", 2);
 	plat_view_note_store(r.v, false);
-	pass(&r, 10 * S);
+	advance(&r, 10 * S);
 	plat_view_note_store(r.v, true);
-	take(r.v, 6, 0, a, "", 1);
+	receive(r.v, 6, 0, a, "", 1);
 	CU_ASSERT_PTR_NOT_NULL(mh_fleet_find(r.f, "b"));
 	for (int i = 0; i < 30; i++) {
-		pass(&r, 100 * MS);
-		plat_view_rows_same(r.v, 0); /* another has just read it */
+		advance(&r, 100 * MS);
+		plat_view_rows_same(r.v, 0); /* a peer has just read it */
 	}
 	CU_ASSERT_PTR_NULL(mh_fleet_find(r.f, "b"));
 	CU_ASSERT_PTR_NOT_NULL(mh_fleet_find(r.f, "a"));
@@ -385,40 +385,41 @@
 	close_view(&r);
 }
 
-/* A row with the start of its endpoint; 0: without. */
+/* A row with the start time of its endpoint; 0: without. */
 static char *
-born_item(const char *id, uint64_t revision, int64_t born_ms, const char *state)
+item_with_start(
+    const char *id, uint64_t revision, int64_t start_ms, const char *state)
 {
-	char *born = born_ms == 0
+	char *start = start_ms == 0
 	    ? g_strdup("")
-	    : g_strdup_printf(",\"born\":%" PRId64, born_ms);
+	    : g_strdup_printf(",\"born\":%" PRId64, start_ms);
 	char *row = g_strdup_printf(
 	    "{\"service\":\"s\",\"address\":\"10.0.0.2:80\","
 	    "\"zone\":\"z\",\"version\":\"v1\",\"capacity\":4,"
 	    "\"warmupLeftMs\":0,\"sequence\":1,\"state\":\"%s\"%s}",
-	    state, born);
+	    state, start);
 	char *item = item_of(id, revision, row);
 
-	g_free(born);
+	g_free(start);
 	g_free(row);
 	return item;
 }
 
 static void
-take_two(struct plat_view *v, uint64_t revision, char *a, char *b)
+receive_two(struct plat_view *v, uint64_t revision, char *a, char *b)
 {
 	char *both = g_strdup_printf("%s,%s", a, b);
 
-	take(v, revision, 0, both, "", 2);
+	receive(v, revision, 0, both, "", 2);
 	g_free(a);
 	g_free(b);
 	g_free(both);
 }
 
 /*
- * Another program writes over one endpoint's row, on the same page as a sound
- * one.  The sound one holds; the other is back when its row is mended.  The
- * reason is told once a revision, not with each reading.
+ * Another program overwrites an endpoint's row, on the same page as a valid
+ * row.  The valid row stays in use; the other endpoint returns when its row is
+ * valid again.  The error is logged once per revision, not with each reading.
  */
 static void
 test_foreign_row_in_a_reading(void)
@@ -426,30 +427,30 @@
 	struct vrig r;
 
 	open_view(&r);
-	take_two(r.v, 5, born_item("a", 3, BORN_MS, "ready"),
-	    born_item("b", 4, BORN_MS, "ready"));
+	receive_two(r.v, 5, item_with_start("a", 3, START_MS, "ready"),
+	    item_with_start("b", 4, START_MS, "ready"));
 	CU_ASSERT_EQUAL(mh_fleet_size(r.f), 2);
 	for (uint64_t at = 6; at < 9; at++)
-		take_two(r.v, at, born_item("a", 3, BORN_MS, "ready"),
+		receive_two(r.v, at, item_with_start("a", 3, START_MS, "ready"),
 		    item_of("b", 6, "\x01\x02"));
 	CU_ASSERT_EQUAL(mh_fleet_size(r.f), 1);
 	CU_ASSERT_PTR_NOT_NULL(mh_fleet_find(r.f, "a@1784044378752"));
 	CU_ASSERT_EQUAL(mh_counter(r.k, "registry_rows_refused"), 1);
-	take_two(r.v, 10, born_item("a", 3, BORN_MS, "ready"),
-	    born_item("b", 9, BORN_MS, "parked"));
+	receive_two(r.v, 10, item_with_start("a", 3, START_MS, "ready"),
+	    item_with_start("b", 9, START_MS, "parked"));
 	CU_ASSERT_EQUAL(mh_counter(r.k, "registry_rows_refused"), 2);
-	take_two(r.v, 12, born_item("a", 3, BORN_MS, "ready"),
-	    born_item("b", 11, BORN_MS, "ready"));
+	receive_two(r.v, 12, item_with_start("a", 3, START_MS, "ready"),
+	    item_with_start("b", 11, START_MS, "ready"));
 	CU_ASSERT_EQUAL(mh_fleet_size(r.f), 2);
 	close_view(&r);
 }
 
 /*
- * A row for a service that nobody configured, at the address of a sound
- * endpoint: results of that one were freed under the other's name.
+ * Guards against a row of a service that isn't configured, at the address of a
+ * healthy endpoint: results at that endpoint were freed under the row's name.
  */
 static void
-test_row_of_no_service(void)
+test_row_of_unknown_service(void)
 {
 	static const char conf[] =
 	    "{\"version\":3,\"routes\":[],\"services\":[{\"name\":\"t\"}]}";
@@ -459,13 +460,13 @@
 	struct vrig r;
 
 	open_view(&r);
-	take_two(r.v, 5, born_item("a", 3, BORN_MS, "ready"),
-	    born_item("b", 4, BORN_MS, "ready"));
+	receive_two(r.v, 5, item_with_start("a", 3, START_MS, "ready"),
+	    item_with_start("b", 4, START_MS, "ready"));
 	plat_view_take_conf(r.v, 6, conf, strlen(conf));
 	CU_ASSERT_EQUAL(mh_fleet_size(r.f), 0);
 	CU_ASSERT_EQUAL(mh_counter(r.k, "registry_rows_refused"), 2);
-	take_two(r.v, 7, born_item("a", 3, BORN_MS, "ready"),
-	    born_item("b", 4, BORN_MS, "ready"));
+	receive_two(r.v, 7, item_with_start("a", 3, START_MS, "ready"),
+	    item_with_start("b", 4, START_MS, "ready"));
 	CU_ASSERT_EQUAL(mh_fleet_size(r.f), 0);
 	CU_ASSERT_EQUAL(mh_counter(r.k, "registry_rows_refused"), 2);
 	plat_view_take_conf(r.v, 8, both, strlen(both));
@@ -474,26 +475,26 @@
 }
 
 /*
- * A row that lacks only the time of its endpoint's start is from another
- * writer where endpoints tell it, and sound where none does.
+ * A row that lacks only the start time is refused if the other rows have one,
+ * and valid if no row has one.
  */
 static void
-test_row_without_born(void)
+test_row_without_start(void)
 {
 	struct vrig r;
 
 	open_view(&r);
-	take_two(r.v, 5, born_item("a", 3, 0, "ready"),
-	    born_item("b", 4, 0, "ready"));
+	receive_two(r.v, 5, item_with_start("a", 3, 0, "ready"),
+	    item_with_start("b", 4, 0, "ready"));
 	CU_ASSERT_EQUAL(mh_fleet_size(r.f), 2);
-	take(r.v, 9, 0, "", "", 0);
+	receive(r.v, 9, 0, "", "", 0);
 	for (uint64_t at = 10; at < 12; at++) {
-		char *a = born_item("a", 6, BORN_MS, "ready");
-		char *b = born_item("b", 7, BORN_MS, "ready");
-		char *c = born_item("c", 8, 0, "ready");
+		char *a = item_with_start("a", 6, START_MS, "ready");
+		char *b = item_with_start("b", 7, START_MS, "ready");
+		char *c = item_with_start("c", 8, 0, "ready");
 		char *all = g_strdup_printf("%s,%s,%s", a, b, c);
 
-		take(r.v, at, 0, all, "", 3);
+		receive(r.v, at, 0, all, "", 3);
 		g_free(a);
 		g_free(b);
 		g_free(c);
@@ -504,12 +505,12 @@
 	close_view(&r);
 }
 
-/* endpoints that start again */
+/* endpoints that restart */
 
 static void
-list_one(struct mh_fleet *f, int64_t born_ms, bool leaving)
+list_one(struct mh_fleet *f, int64_t start_ms, bool leaving)
 {
-	struct mh_listing l = { "i", born_ms, "pool", "10.0.0.2:80", "z", 4,
+	struct mh_listing l = { "i", start_ms, "pool", "10.0.0.2:80", "z", 4,
 		leaving, 0 };
 
 	mh_fleet_begin(f);
@@ -525,12 +526,12 @@
 }
 
 /*
- * A replica that was leaving and had failed crashes and starts again under
- * its id.  Taken for the same one, it stayed left out, and prompts were sent
- * to it that it had never read.
+ * A draining endpoint with failures crashes and restarts under the same id.
+ * While it was treated as the same process, it stayed excluded, and got prompts
+ * because of a prompt cache that it had lost.
  */
 static void
-test_restart_under_its_id(void)
+test_restart_same_id(void)
 {
 	struct mh_kern *k = mh_kern_create(1);
 	struct mh_fleet *f = mh_fleet_create(k);
@@ -539,16 +540,16 @@
 		.pool = "pool", .n_parts = 2, .parts = { { 1, 100 }, { 2, 10 } }
 	};
 	struct mh_node *n;
-	uint32_t gone = 0, ended = 0;
+	uint32_t removals = 0, ended = 0;
 	uint64_t kept;
 
-	mh_fleet_on_gone(f, count_end, &gone);
+	mh_fleet_on_gone(f, count_end, &removals);
 	mh_fleet_on_restart(f, count_end, &ended);
-	list_one(f, BORN_MS, false);
-	list_one(f, BORN_MS, true);
+	list_one(f, START_MS, false);
+	list_one(f, START_MS, true);
 	n = mh_fleet_find(f, "i@1784044378752");
 	if (n == NULL) {
-		CU_FAIL("nothing came back");
+		CU_FAIL("the endpoint is not listed");
 		return;
 	}
 	CU_ASSERT_TRUE(n->leaving);
@@ -557,14 +558,14 @@
 	mh_node_bad(f, n, "test");
 	mh_node_told(f, n, 3, 4, 5);
 	n->inflight = 2;
-	list_one(f, BORN_MS + 9000, false);
-	CU_ASSERT_EQUAL(gone, 1);
+	list_one(f, START_MS + 9000, false);
+	CU_ASSERT_EQUAL(removals, 1);
 	CU_ASSERT_EQUAL(ended, 1);
 	CU_ASSERT_EQUAL(mh_fleet_size(f), 1);
 	CU_ASSERT_PTR_NULL(mh_fleet_find(f, "i@1784044378752"));
 	n = mh_fleet_at(f, "10.0.0.2:80");
 	if (n == NULL) {
-		CU_FAIL("nothing came back");
+		CU_FAIL("the endpoint is not listed");
 		return;
 	}
 	CU_ASSERT_STRING_EQUAL(n->name, "i");
@@ -579,45 +580,46 @@
 }
 
 /*
- * The endpoint's own report tells of the restart before its row does.  The
- * row of before, read once more, must not bring the former one back; a clock
- * that went back makes no difference.
+ * The endpoint's own report shows the restart before its row does.  The old
+ * row, read once more, must not restore the former process.  The new start time
+ * may be earlier, if the clock was set back.
  */
 static void
-test_restart_told_by_itself(void)
+test_restart_reported(void)
 {
 	struct mh_kern *k = mh_kern_create(1);
 	struct mh_fleet *f = mh_fleet_create(k);
 	uint32_t ended = 0;
 
 	mh_fleet_on_restart(f, count_end, &ended);
-	list_one(f, BORN_MS, true);
-	mh_fleet_born(f, "i@1784044378752", BORN_MS);
+	list_one(f, START_MS, true);
+	mh_fleet_born(f, "i@1784044378752", START_MS);
 	CU_ASSERT_EQUAL(ended, 0);
-	mh_fleet_born(f, "i@1784044378752", BORN_MS - 4000);
+	mh_fleet_born(f, "i@1784044378752", START_MS - 4000);
 	CU_ASSERT_EQUAL(ended, 1);
 	CU_ASSERT_PTR_NOT_NULL(mh_fleet_find(f, "i@1784044374752"));
-	list_one(f, BORN_MS, true);
+	list_one(f, START_MS, true);
 	CU_ASSERT_FALSE(mh_fleet_at(f, "10.0.0.2:80")->leaving);
 	CU_ASSERT_EQUAL(ended, 1);
-	list_one(f, BORN_MS - 4000, false);
+	list_one(f, START_MS - 4000, false);
 	CU_ASSERT_EQUAL(ended, 1);
-	list_one(f, BORN_MS + 1, false);
+	list_one(f, START_MS + 1, false);
 	CU_ASSERT_EQUAL(ended, 2);
 	CU_ASSERT_EQUAL(mh_fleet_size(f), 1);
-	mh_fleet_born(f, "i@1784044378752", BORN_MS + 5); /* a late answer */
+	mh_fleet_born(f, "i@1784044378752", START_MS + 5); /* outdated */
 	CU_ASSERT_EQUAL(ended, 2);
 	mh_fleet_destroy(f);
 	mh_kern_destroy(k);
 }
 
 /*
- * A stage endpoint crashes with results on it and a call in work, and starts
- * again at once.  The results were found missing one call at a time, each a
- * stage's time later; now all are made again as soon as the restart is known.
+ * A stage endpoint with results and a running call crashes and restarts at
+ * once.  All its results must be recomputed as soon as the restart is known.
+ * Otherwise the missing results are found one call at a time, each a stage's
+ * run time later.
  */
 static void
-test_restart_remakes_results(void)
+test_restart_recomputes_results(void)
 {
 	static const char *const chain[] = { "a", "b", NULL };
 	const uint32_t pieces[] = { 2, 2 };
@@ -646,19 +648,23 @@
 }
 
 const struct test tests_registry[] = {
-	{ "registry: a row that may have lapsed goes", test_lapsed_row_goes },
+	{ "registry: a row that may have lapsed is removed",
+	    test_lapsed_row_removed },
 	{ "registry: a row", test_row },
-	{ "registry: rows of another writer", test_foreign_rows },
-	{ "registry: names of another writer", test_foreign_names },
+	{ "registry: rows of another program", test_foreign_rows },
+	{ "registry: names of another program", test_foreign_names },
 	{ "registry: rows of any bytes", test_rows_mutated },
-	{ "registry: changes among entries", test_registry_changes },
-	{ "registry: a change is told alone", test_registry_change_alone },
-	{ "registry: another writer's row in a reading",
+	{ "registry: changes sent between entries", test_registry_changes },
+	{ "registry: a change is sent alone", test_registry_change_sent_alone },
+	{ "registry: another program's row in a reading",
 	    test_foreign_row_in_a_reading },
-	{ "registry: a row of no service", test_row_of_no_service },
-	{ "registry: a row without its start", test_row_without_born },
-	{ "registry: a restart under its id", test_restart_under_its_id },
-	{ "registry: a restart told by itself", test_restart_told_by_itself },
-	{ "registry: a restart remakes results", test_restart_remakes_results },
+	{ "registry: a row of an unknown service",
+	    test_row_of_unknown_service },
+	{ "registry: a row without a start time", test_row_without_start },
+	{ "registry: a restart under the same id", test_restart_same_id },
+	{ "registry: a restart reported by the endpoint",
+	    test_restart_reported },
+	{ "registry: a restart recomputes results",
+	    test_restart_recomputes_results },
 	{ NULL, NULL },
 };
--- a/regress/t_platform_store.c
+++ b/regress/t_platform_store.c
@@ -1,7 +1,7 @@
 /**
- * DOC: Calls to the platform's store: who makes them while it is away, and
- * what is read first once it answers.  Over loopback, against a stand-in that
- * turns callers away for so many calls.
+ * DOC: Calls to the platform's store: which are made while it is down, and what
+ * is read first when it answers.  Runs over loopback against a stand-in that
+ * can answer its first calls with 503.
  */
 
 #include "entries.h"
@@ -12,10 +12,10 @@
 #include <string.h>
 
 #define S MH_US_PER_S
-#define LONGEST_US (8 * MH_US_PER_S)
-#define ODD_US (S / 2)
-/* A call each 200 ms, and as many for what is read at the start. */
-#define MOST_CALLS 6
+#define RUN_MAX_US (8 * MH_US_PER_S)
+#define TIMED_RUN_US (S / 2)
+/* A call each 200 ms of the run, and as many again for the start. */
+#define MAX_CALLS 6
 
 #define CONF_ITEM                                          \
 	"{\"key\":\"op/config\",\"revision\":3,\"value\":" \
@@ -28,7 +28,7 @@
 static const char written[] =
     "{\"items\":[" CONF_ITEM "],\"hasMore\":false,\"asOf\":9}";
 
-/** struct srig - a store that answers after @refuse calls, and its reader. */
+/** struct srig - a stand-in of the store, and an entry's client of it. */
 struct srig {
 	struct mh_kern *k;
 	struct mh_loop *loop;
@@ -38,42 +38,42 @@
 	struct plat_store *store;
 	struct plat_view *view;
 	struct plat_members *members;
-	uint32_t refuse; /* calls that get 503 */
-	uint32_t early; /* calls that did */
-	uint32_t early_first; /* of these, for the page of a start */
-	uint32_t rows;
-	uint32_t firsts; /* readings of the page that a start reads */
-	uint32_t lists;
-	uint32_t secrets;
-	uint32_t own; /* readings of our row alone */
+	uint32_t refuse; /* number of calls that get 503 */
+	uint32_t refused; /* calls that got 503 so far */
+	uint32_t refused_first; /* of these, for the first page of entries */
+	uint32_t row_reads;
+	uint32_t first_reads; /* of the first page of entries */
+	uint32_t list_reads;
+	uint32_t secret_reads;
+	uint32_t own_reads; /* of the entry's own row */
 	bool has_conf;
-	bool has_links;
-	bool alone; /* no other entry is heard of */
-	bool follows; /* others read for all */
-	bool behind; /* others have a later configuration */
-	bool pages; /* the registry is two pages, of two moments */
-	bool odd; /* it runs for ODD_US */
-	/* instead of its usual answers; NULL: these */
+	bool has_secret;
+	bool alone; /* no other entry is alive */
+	bool not_reader; /* others are the readers */
+	bool conf_stale; /* others have a later configuration */
+	bool pages; /* the registry has two pages, of different revisions */
+	bool timed; /* runs for TIMED_RUN_US instead of until all is read */
+	/* responses; NULL: the usual ones */
 	const char *second_page;
 	const char *watch;
 	const char *written; /* by the operator */
-	const char *first; /* the page that a start reads */
+	const char *first; /* first page of entries */
 	const char *list;
-	const char *more; /* the list's second page */
+	const char *second_list_page;
 	const char *own_row; /* NULL: there is none */
 	const char *secret; /* NULL: there is none */
-	const char *row_watch; /* what a watch of the registry brings */
-	uint32_t watches; /* of what the operator writes */
+	const char *row_watch; /* of the registry */
+	uint32_t watches; /* of the operator's items */
 	uint32_t row_watches;
-	uint32_t confs;
+	uint32_t conf_reads;
 	uint32_t puts;
 	char *evacuated; /* failure domains, joined by commas */
-	uint32_t told; /* lists of entries that were taken */
-	uint32_t most_told; /* entries of the longest */
+	uint32_t lists_received; /* whole lists of entries */
+	uint32_t longest_list; /* entries in the longest */
 };
 
 static void
-say(struct mh_hreq *q, uint32_t status, const char *text)
+respond(struct mh_hreq *q, uint32_t status, const char *text)
 {
 	struct mh_headers *h = mh_headers_create();
 
@@ -103,57 +103,60 @@
 	"{\"items\":[" entry "],\"hasMore\":" more ",\"asOf\":9}"
 
 static const char *
-either(const char *odd, const char *usual)
+if_set(const char *special, const char *usual)
 {
-	return odd != NULL ? odd : usual;
+	return special != NULL ? special : usual;
 }
 
 static const char *
 registry_page(struct srig *r, const char *target)
 {
-	r->rows++;
+	r->row_reads++;
 	if (!r->pages)
 		return NOTHING;
 	if (strstr(target, "after=") == NULL)
 		return FIRST_PAGE;
-	return either(r->second_page, SECOND_PAGE);
+	return if_set(r->second_page, SECOND_PAGE);
 }
 
 static void
-answer(struct srig *r, struct mh_hreq *q)
+serve(struct srig *r, struct mh_hreq *q)
 {
 	const char *target = mh_hreq_target(q);
 
 	if (g_str_has_prefix(target, "/kv-watch?pathPrefix=servers/")) {
 		r->row_watches++;
-		say(q, 200, either(r->row_watch, conf_item));
+		respond(q, 200, if_set(r->row_watch, conf_item));
 	} else if (g_str_has_prefix(target, "/kv-watch")) {
 		r->watches++;
-		say(q, 200, either(r->watch, conf_item));
+		respond(q, 200, if_set(r->watch, conf_item));
 	} else if (strstr(target, "pathPrefix=op/") != NULL) {
-		r->confs++;
-		say(q, 200, either(r->written, written));
+		r->conf_reads++;
+		respond(q, 200, if_set(r->written, written));
 	} else if (strstr(target, "servers/") != NULL) {
-		say(q, 200, registry_page(r, target));
+		respond(q, 200, registry_page(r, target));
 	} else if (strstr(target, "marlhoist/vm/e0") != NULL) {
-		r->own++;
-		say(q, r->own_row == NULL ? 404 : 200,
-		    either(r->own_row, "{}"));
+		r->own_reads++;
+		respond(q, r->own_row == NULL ? 404 : 200,
+		    if_set(r->own_row, "{}"));
 	} else if (strstr(target, "marlhoist/vm/") != NULL) {
-		r->lists++;
-		say(q, 200,
-		    either(strstr(target, "after=") == NULL ? r->list : r->more,
+		r->list_reads++;
+		respond(q, 200,
+		    if_set(strstr(target, "after=") == NULL
+			    ? r->list
+			    : r->second_list_page,
 			NOTHING));
 	} else if (strstr(target, "pathPrefix=marlhoist/") != NULL) {
-		r->firsts++;
-		say(q, 200, either(r->first, LIST(SECRET_ITEM, "false")));
+		r->first_reads++;
+		respond(q, 200, if_set(r->first, LIST(SECRET_ITEM, "false")));
 	} else if (strstr(target, "marlhoist/secret") != NULL) {
-		r->secrets++;
-		say(q, r->secret == NULL ? 404 : 200, either(r->secret, "{}"));
+		r->secret_reads++;
+		respond(
+		    q, r->secret == NULL ? 404 : 200, if_set(r->secret, "{}"));
 	} else {
 		if (strcmp(target, "/kv-txn") == 0)
 			r->puts++;
-		say(q, 200, "{\"revision\":10}");
+		respond(q, 200, "{\"revision\":10}");
 	}
 }
 
@@ -162,24 +165,24 @@
 {
 	struct srig *r = arg;
 
-	if (r->early < r->refuse) {
-		r->early++;
-		r->early_first +=
+	if (r->refused < r->refuse) {
+		r->refused++;
+		r->refused_first +=
 		    strstr(mh_hreq_target(q), "pathPrefix=marlhoist/&") != NULL;
-		say(q, 503, "{}");
+		respond(q, 503, "{}");
 		return;
 	}
-	answer(r, q);
-	if (r->odd)
+	serve(r, q);
+	if (r->timed)
 		return;
-	/* With pages: once the second reading has begun. */
-	if (r->has_conf && r->rows > (r->pages ? 2 : 0) && r->firsts > 0 &&
-	    r->puts > 0 && r->has_links)
+	/* With two pages: when the second reading has begun. */
+	if (r->has_conf && r->row_reads > (r->pages ? 2 : 0) &&
+	    r->first_reads > 0 && r->puts > 0 && r->has_secret)
 		mh_loop_stop(r->loop);
 }
 
 static void
-on_gone(void *arg, struct mh_hreq *q)
+on_disconnect(void *arg, struct mh_hreq *q)
 {
 	(void)arg;
 	(void)q;
@@ -204,7 +207,7 @@
 static bool
 is_reader(void *arg)
 {
-	return !((struct srig *)arg)->follows;
+	return !((struct srig *)arg)->not_reader;
 }
 
 static bool
@@ -214,13 +217,13 @@
 }
 
 static bool
-is_behind(void *arg)
+is_conf_stale(void *arg)
 {
-	return ((struct srig *)arg)->behind;
+	return ((struct srig *)arg)->conf_stale;
 }
 
 static bool
-has_heard(void *arg, const char *node)
+is_alive(void *arg, const char *node)
 {
 	(void)node;
 	return is_linked(arg);
@@ -233,30 +236,30 @@
 
 	if (!whole)
 		return;
-	r->told++;
-	r->most_told = MAX(r->most_told, entries->len);
+	r->lists_received++;
+	r->longest_list = MAX(r->longest_list, entries->len);
 }
 
 static void
 on_secret(void *arg, const char *text)
 {
 	CU_ASSERT_STRING_EQUAL(text, "c2VjcmV0");
-	((struct srig *)arg)->has_links = true;
+	((struct srig *)arg)->has_secret = true;
 }
 
-/* The rest of @r is zero but for what the store is to do. */
+/* @r is zero except for what the store is to do. */
 static void
-play(struct srig *r)
+run_rig(struct srig *r)
 {
 	struct mh_hserve_args a = { .listen = "127.0.0.1:0",
 		.limits = { 4096, 65536, 3 * S, 9 * S },
 		.on_request = on_request,
-		.on_gone = on_gone,
+		.on_gone = on_disconnect,
 		.arg = r };
 	struct plat_view_fns fns = { on_conf, on_evacuated, is_reader,
-		is_reader, is_linked, r, 2 * S, is_behind };
+		is_reader, is_linked, r, 2 * S, is_conf_stale };
 	struct plat_member_fns member_fns = { on_entries, on_secret, is_reader,
-		is_linked, has_heard, r };
+		is_linked, is_alive, r };
 	struct mh_member self = { (char *)"e0", (char *)"127.0.0.1:9", 1 };
 	char addr[32];
 	bool in_time;
@@ -271,8 +274,8 @@
 	r->store = plat_store_create(r->k, r->calls, addr);
 	r->view = plat_view_create(r->k, r->store, r->fleet, &fns);
 	r->members = plat_members_create(r->k, r->store, &self, &member_fns);
-	in_time = run_most(r->k, r->loop, r->odd ? ODD_US : LONGEST_US);
-	CU_ASSERT_TRUE(in_time || r->odd);
+	in_time = run_most(r->k, r->loop, r->timed ? TIMED_RUN_US : RUN_MAX_US);
+	CU_ASSERT_TRUE(in_time || r->timed);
 }
 
 static void
@@ -281,7 +284,7 @@
 	memset(r, 0, sizeof(*r));
 	r->refuse = refuse;
 	r->pages = pages;
-	play(r);
+	run_rig(r);
 }
 
 static void
@@ -299,18 +302,18 @@
 }
 
 /*
- * All processes lose power while the store is away.  Each made five kinds of
- * calls, over and over, that nobody answered; now one of each finds the store
- * back, and all that is needed is read at once.
+ * All processes restart after a power failure while the store is down.  Each
+ * repeated five kinds of calls that weren't answered.  Only one kind may be
+ * repeated to detect the recovery; then all that is needed is read at once.
  */
 static void
-test_one_call_finds_it_back(void)
+test_one_call_detects_recovery(void)
 {
 	struct srig r;
 
 	run(&r, 6, false);
-	CU_ASSERT_EQUAL(r.early, 6);
-	CU_ASSERT_EQUAL(r.early_first, 6);
+	CU_ASSERT_EQUAL(r.refused, 6);
+	CU_ASSERT_EQUAL(r.refused_first, 6);
 	CU_ASSERT_FALSE(plat_store_away(r.store));
 	finish(&r);
 }
@@ -321,22 +324,22 @@
 	struct srig r;
 
 	run(&r, 0, false);
-	CU_ASSERT_EQUAL(r.rows, 1);
-	CU_ASSERT_EQUAL(r.firsts, 1);
+	CU_ASSERT_EQUAL(r.row_reads, 1);
+	CU_ASSERT_EQUAL(r.first_reads, 1);
 	CU_ASSERT_EQUAL(r.puts, 1);
-	CU_ASSERT_EQUAL(r.secrets, 0);
+	CU_ASSERT_EQUAL(r.secret_reads, 0);
 	finish(&r);
 }
 
 /*
- * A registry of many pages is read while it changes: the first page is of
- * revision 9, the last of 12.  Taken for a reading of 12, it lacked what
- * changed on the first page, and who had it took the next reading of 12 for the
- * same: an endpoint that left there got requests until the registry changed
- * again.
+ * A registry of many pages is read while it changes: the first page has
+ * revision 9, the last 12.  When the reading was recorded as revision 12, it
+ * lacked changes of the first page, and an entry that had it took a later
+ * reading of 12 for the same.  A draining endpoint got requests until the next
+ * change of the registry.
  */
 static void
-test_pages_are_of_the_first(void)
+test_first_page_revision(void)
 {
 	struct srig r;
 
@@ -345,9 +348,9 @@
 	finish(&r);
 }
 
-/* Guards against half of the registry taken for the whole of it. */
+/* Guards against a part of the registry used as if it were all of it. */
 static void
-test_odd_pages(void)
+test_malformed_pages(void)
 {
 	static const char *const pages[] = { "",
 		"{\"items\":[],\"hasMore\":true,\"asOf\":12}",
@@ -355,22 +358,22 @@
 
 	for (size_t i = 0; i < G_N_ELEMENTS(pages); i++) {
 		struct srig r = {
-			.odd = true, .pages = true, .second_page = pages[i]
+			.timed = true, .pages = true, .second_page = pages[i]
 		};
 
-		play(&r);
-		if (plat_view_ready(r.view) || r.rows > 2 * MOST_CALLS)
+		run_rig(&r);
+		if (plat_view_ready(r.view) || r.row_reads > 2 * MAX_CALLS)
 			printf("\n  page %s: ready=%d calls=%u\n", pages[i],
-			    plat_view_ready(r.view), r.rows);
+			    plat_view_ready(r.view), r.row_reads);
 		CU_ASSERT_FALSE(plat_view_ready(r.view));
-		CU_ASSERT(r.rows <= 2 * MOST_CALLS);
+		CU_ASSERT(r.row_reads <= 2 * MAX_CALLS);
 		finish(&r);
 	}
 }
 
-/* Guards against a watch that is asked again without a pause. */
+/* Guards against a watch that is repeated without a pause. */
 static void
-test_odd_watches(void)
+test_malformed_watches(void)
 {
 	static const char *const watches[] = { "", "{\"events\":[],\"asOf\":9}",
 		"{\"events\":[{\"key\":\"op/config\",\"revision\":2,"
@@ -379,21 +382,21 @@
 		"\"value\":\"e30=\"}],\"asOf\":9}" };
 
 	for (size_t i = 0; i < G_N_ELEMENTS(watches); i++) {
-		struct srig r = { .odd = true, .watch = watches[i] };
+		struct srig r = { .timed = true, .watch = watches[i] };
 
-		play(&r);
-		if (r.watches > MOST_CALLS)
+		run_rig(&r);
+		if (r.watches > MAX_CALLS)
 			printf(
 			    "\n  watch %s: calls=%u\n", watches[i], r.watches);
-		CU_ASSERT(r.watches > 0 && r.watches <= MOST_CALLS);
+		CU_ASSERT(r.watches > 0 && r.watches <= MAX_CALLS);
 		CU_ASSERT_EQUAL(plat_view_conf_revision(r.view), 3);
 		finish(&r);
 	}
 }
 
-/* Guards against a configuration that is forgotten for one without a value. */
+/* Guards against a configuration that is replaced by one without a value. */
 static void
-test_odd_conf(void)
+test_conf_without_value(void)
 {
 	static const char *const watches[] = {
 		"{\"events\":[{\"key\":\"op/config\",\"revision\":99}],"
@@ -403,10 +406,10 @@
 	};
 
 	for (size_t i = 0; i < G_N_ELEMENTS(watches); i++) {
-		struct srig r = { .odd = true, .watch = watches[i] };
+		struct srig r = { .timed = true, .watch = watches[i] };
 		GBytes *text;
 
-		play(&r);
+		run_rig(&r);
 		text = mh_past_latest(plat_view_conf_past(r.view));
 		CU_ASSERT_EQUAL(plat_view_conf_revision(r.view), 3);
 		CU_ASSERT(g_bytes_get_size(text) > 0);
@@ -414,17 +417,17 @@
 	}
 }
 
-/* Guards against work for a failure domain that the operator has evacuated. */
+/* Guards against work sent to a failure domain that is evacuated. */
 static void
 test_evacuated(void)
 {
 	static const struct {
 		const char *written;
 		const char *watch;
-		const char *evacuated; /* NULL: nothing was told */
+		const char *evacuated; /* NULL: no callback */
 		uint64_t refused;
 	} t[] = {
-		/* as it is read, and as it changes */
+		/* read, changed by a watch, or both */
 		{ "{\"items\":[" CONF_ITEM
 		  "," EVACUATED_ITEM("a", 4) "],"
 					     "\"hasMore\":false,\"asOf\":9}",
@@ -439,7 +442,7 @@
 		    "{\"events\":[{\"key\":\"op/evacuate/a\",\"revision\":11,"
 		    "\"deleted\":true}],\"asOf\":11}",
 		    "b", 0 },
-		/* a word from before what was read */
+		/* an event older than what was read */
 		{ "{\"items\":[" CONF_ITEM
 		  "," EVACUATED_ITEM("a", 8) "],"
 					     "\"hasMore\":false,\"asOf\":9}",
@@ -452,7 +455,7 @@
 			"a/b", 12) "," EVACUATED_ITEM("a b",
 			13) "],\"asOf\":13}",
 		    NULL, 3 },
-		/* another writer's keys */
+		/* keys of another program */
 		{ NULL,
 		    "{\"events\":[{\"key\":\"op/evacuated\",\"revision\":11,"
 		    "\"value\":\"e30=\"},{\"revision\":12},7],\"asOf\":12}",
@@ -460,11 +463,11 @@
 	};
 
 	for (size_t i = 0; i < G_N_ELEMENTS(t); i++) {
-		struct srig r = { .odd = true,
+		struct srig r = { .timed = true,
 			.written = t[i].written,
 			.watch = t[i].watch };
 
-		play(&r);
+		run_rig(&r);
 		if (g_strcmp0(r.evacuated, t[i].evacuated) != 0)
 			printf("\n  row %zu: evacuated %s\n", i, r.evacuated);
 		CU_ASSERT_EQUAL(g_strcmp0(r.evacuated, t[i].evacuated), 0);
@@ -475,34 +478,34 @@
 	}
 }
 
-/* Guards against no entries, or no secret, read from an answer of nothing. */
+/* Guards against an empty list, or no secret, read from a malformed page. */
 static void
-test_odd_members(void)
+test_malformed_entry_pages(void)
 {
-	static const char *const answers[] = { "", "{\"items\":7}",
+	static const char *const pages[] = { "", "{\"items\":7}",
 		"{\"items\":[],\"hasMore\":true,\"asOf\":9}" };
 
-	for (size_t i = 0; i < G_N_ELEMENTS(answers); i++) {
+	for (size_t i = 0; i < G_N_ELEMENTS(pages); i++) {
 		struct srig r = {
-			.odd = true, .first = answers[i], .list = answers[i]
+			.timed = true, .first = pages[i], .list = pages[i]
 		};
 
-		play(&r);
-		CU_ASSERT(r.firsts > 0);
-		CU_ASSERT_EQUAL(r.told, 0);
+		run_rig(&r);
+		CU_ASSERT(r.first_reads > 0);
+		CU_ASSERT_EQUAL(r.lists_received, 0);
 		CU_ASSERT_EQUAL(r.puts, 0);
-		CU_ASSERT_FALSE(r.has_links);
+		CU_ASSERT_FALSE(r.has_secret);
 		finish(&r);
 	}
 }
 
-/* Guards against a page of the entries taken for all of them. */
+/* Guards against a page of entries used as the whole list. */
 static void
-test_pages_of_members(void)
+test_entry_pages(void)
 {
 	static const struct {
 		const char *more;
-		uint32_t told; /* entries */
+		uint32_t entries; /* in the list; 0: none received */
 	} t[] = {
 		{ LIST(ENTRY("b"), "false"), 2 },
 		{ "", 0 },
@@ -511,18 +514,19 @@
 	};
 
 	for (size_t i = 0; i < G_N_ELEMENTS(t); i++) {
-		struct srig r = { .odd = true,
+		struct srig r = { .timed = true,
 			.first = LIST(SECRET_ITEM "," ENTRY("a"), "true"),
 			.list = LIST(ENTRY("a"), "true"),
-			.more = t[i].more };
-
-		play(&r);
-		if (r.most_told != t[i].told || r.lists > 2 * MOST_CALLS)
-			printf("\n  page %s: %u told, %u calls\n", t[i].more,
-			    r.most_told, r.lists);
-		CU_ASSERT(r.lists > 0);
-		CU_ASSERT_EQUAL(r.most_told, t[i].told);
-		CU_ASSERT(r.lists <= 2 * MOST_CALLS);
+			.second_list_page = t[i].more };
+
+		run_rig(&r);
+		if (r.longest_list != t[i].entries ||
+		    r.list_reads > 2 * MAX_CALLS)
+			printf("\n  page %s: %u entries, %u calls\n", t[i].more,
+			    r.longest_list, r.list_reads);
+		CU_ASSERT(r.list_reads > 0);
+		CU_ASSERT_EQUAL(r.longest_list, t[i].entries);
+		CU_ASSERT(r.list_reads <= 2 * MAX_CALLS);
 		finish(&r);
 	}
 }
@@ -539,10 +543,10 @@
 		uint32_t secrets;
 		uint32_t puts;
 	} t[] = {
-		/* all is there */
+		/* the page has all */
 		{ LIST(SECRET_ITEM "," ENTRY("a") "," OWN_ITEM, "true"), NULL,
 		    NULL, 0, 0, 0 },
-		/* our row stands behind it, or nowhere */
+		/* our row is on a later page, or nowhere */
 		{ LIST(SECRET_ITEM "," ENTRY("a"), "true"), OWN_ITEM, NULL, 1,
 		    0, 0 },
 		{ LIST(SECRET_ITEM "," ENTRY("a"), "true"), NULL, NULL, 1, 0,
@@ -555,26 +559,26 @@
 	};
 
 	for (size_t i = 0; i < G_N_ELEMENTS(t); i++) {
-		struct srig r = { .odd = true,
-			.follows = true,
+		struct srig r = { .timed = true,
+			.not_reader = true,
 			.first = t[i].first,
 			.own_row = t[i].own_row,
 			.secret = t[i].secret };
 
-		play(&r);
+		run_rig(&r);
 		(void)run_most(r.k, r.loop, S / 2);
-		CU_ASSERT(r.firsts <= 1 + 2 * t[i].secrets);
-		CU_ASSERT_EQUAL(r.lists, 0);
-		CU_ASSERT_EQUAL(r.own, t[i].own);
-		CU_ASSERT_EQUAL(r.secrets, t[i].secrets);
+		CU_ASSERT(r.first_reads <= 1 + 2 * t[i].secrets);
+		CU_ASSERT_EQUAL(r.list_reads, 0);
+		CU_ASSERT_EQUAL(r.own_reads, t[i].own);
+		CU_ASSERT_EQUAL(r.secret_reads, t[i].secrets);
 		CU_ASSERT_EQUAL(r.puts, t[i].puts);
-		CU_ASSERT_TRUE(r.has_links);
+		CU_ASSERT_TRUE(r.has_secret);
 		finish(&r);
 	}
 }
 
 static bool
-tell_list(struct srig *r, uint64_t revision, const char *text)
+receive_list(struct srig *r, uint64_t revision, const char *text)
 {
 	GBytes *b = g_bytes_new(text, strlen(text));
 	bool taken = plat_members_told(r->members, revision, b);
@@ -583,45 +587,45 @@
 	return taken;
 }
 
-/* Guards against another's list that is old, odd, or lacks our own row. */
+/* Guards against a peer's list that is old, invalid, or lacks our row. */
 static void
-test_told_list(void)
+test_peer_list(void)
 {
-	struct srig r = { .odd = true,
-		.follows = true,
+	struct srig r = { .timed = true,
+		.not_reader = true,
 		.first =
 		    LIST(SECRET_ITEM "," ENTRY("a") "," OWN_ITEM, "true") };
 	static const char two[] =
 	    "[[\"a\",\"127.0.0.1:8\",100],[\"e0\",\"127.0.0.1:9\",1000]]";
 	GBytes *text;
 
-	play(&r);
-	CU_ASSERT_EQUAL(r.told, 0);
+	run_rig(&r);
+	CU_ASSERT_EQUAL(r.lists_received, 0);
 	CU_ASSERT_PTR_NULL(plat_members_text(r.members));
-	CU_ASSERT_FALSE(tell_list(&r, 20, "[[\"a\",7,1]]"));
-	CU_ASSERT_FALSE(tell_list(&r, 20, "[]"));
-	CU_ASSERT_FALSE(tell_list(&r, 20, "[[\"a\",\"127.0.0.1:8\",100"));
-	CU_ASSERT_EQUAL(r.told, 0);
-	CU_ASSERT_TRUE(tell_list(&r, 20, two));
-	CU_ASSERT_TRUE(tell_list(&r, 19, "[[\"a\",\"127.0.0.1:8\",100]]"));
-	CU_ASSERT_EQUAL(r.told, 1);
-	CU_ASSERT_EQUAL(r.most_told, 2);
+	CU_ASSERT_FALSE(receive_list(&r, 20, "[[\"a\",7,1]]"));
+	CU_ASSERT_FALSE(receive_list(&r, 20, "[]"));
+	CU_ASSERT_FALSE(receive_list(&r, 20, "[[\"a\",\"127.0.0.1:8\",100"));
+	CU_ASSERT_EQUAL(r.lists_received, 0);
+	CU_ASSERT_TRUE(receive_list(&r, 20, two));
+	CU_ASSERT_TRUE(receive_list(&r, 19, "[[\"a\",\"127.0.0.1:8\",100]]"));
+	CU_ASSERT_EQUAL(r.lists_received, 1);
+	CU_ASSERT_EQUAL(r.longest_list, 2);
 	CU_ASSERT_EQUAL(plat_members_revision(r.members), 20);
 	text = plat_members_text(r.members);
 	CU_ASSERT_EQUAL(g_bytes_get_size(text), strlen(two));
 	g_bytes_unref(text);
-	CU_ASSERT_TRUE(tell_list(&r, 21, "[[\"a\",\"127.0.0.1:8\",100]]"));
+	CU_ASSERT_TRUE(receive_list(&r, 21, "[[\"a\",\"127.0.0.1:8\",100]]"));
 	(void)run_most(r.k, r.loop, S / 5);
 	CU_ASSERT_EQUAL(r.puts, 1);
 	finish(&r);
 }
 
-/* Guards against entries that stay listed for good, and sound ones that go. */
+/* Guards against departed entries that stay, and live ones removed. */
 static void
-test_listed_gone(void)
+test_listed_departed(void)
 {
 	struct mh_listed *l = mh_listed_create();
-	GPtrArray *gone;
+	GPtrArray *departed;
 	char node[8];
 
 	for (int at = 0; at <= 200; at += 2) {
@@ -630,30 +634,30 @@
 			bool alive = i >= 3 || (i == 2 && at % 50 == 0);
 
 			g_snprintf(node, sizeof(node), "n%d", i);
-			/* We ourselves hear of nobody for a while. */
+			/* We are cut off from all others for a while. */
 			alive = alive && (at < 100 || at > 180);
 			if (i != 1 || at < 30)
 				mh_listed_note(l, node, alive, at * S);
 		}
-		gone = mh_listed_gone(l, at * S);
+		departed = mh_listed_gone(l, at * S);
 		if (at <= 60 || (at >= 100 && at <= 180))
-			CU_ASSERT_EQUAL(gone->len, 0);
+			CU_ASSERT_EQUAL(departed->len, 0);
 		if (at > 60 && at < 100) {
-			CU_ASSERT_EQUAL_FATAL(gone->len, 1);
-			CU_ASSERT_STRING_EQUAL(gone->pdata[0], "n0");
+			CU_ASSERT_EQUAL_FATAL(departed->len, 1);
+			CU_ASSERT_STRING_EQUAL(departed->pdata[0], "n0");
 		}
-		g_ptr_array_free(gone, TRUE);
+		g_ptr_array_free(departed, TRUE);
 	}
 	mh_listed_destroy(l);
 }
 
 /*
- * The platform answers nobody for seconds.  Every entry took itself for one of
- * those that read for all, since none before it could: the calls of all were
- * counted and none was answered.
+ * The store answers nobody for seconds.  Guards against every entry becoming a
+ * reader because none of the entries before it can read: the store counts the
+ * calls of all of them.
  */
 static void
-test_few_seek_it(void)
+test_few_probe(void)
 {
 	struct mrig *r = mrig_create();
 	uint32_t n = 0;
@@ -676,11 +680,11 @@
 }
 
 #define ROW_A "{\"key\":\"servers/a\",\"revision\":4,\"value\":\"e30=\"}"
-#define TOLD(rows, count) \
+#define ROWS(rows, count) \
 	"{\"items\":[" rows "],\"gone\":[],\"since\":0,\"count\":" count "}"
 
 static void
-tell_conf(struct srig *r)
+receive_conf(struct srig *r)
 {
 	static const char conf[] =
 	    "{\"version\":3,\"routes\":[],\"services\":[]}";
@@ -689,60 +693,60 @@
 }
 
 static void
-tell_rows(struct srig *r, uint64_t revision, const char *text)
+receive_rows(struct srig *r, uint64_t revision, const char *text)
 {
 	plat_view_take_rows(r->view, revision, text, strlen(text));
 }
 
 /* Guards against starts whose calls grow with the number of endpoints. */
 static void
-test_start_is_told_rows(void)
+test_start_receives_rows(void)
 {
-	struct srig r = { .odd = true, .follows = true };
+	struct srig r = { .timed = true, .not_reader = true };
 
-	play(&r);
-	CU_ASSERT_EQUAL(r.rows + r.row_watches, 0);
+	run_rig(&r);
+	CU_ASSERT_EQUAL(r.row_reads + r.row_watches, 0);
 	CU_ASSERT_FALSE(plat_view_ready(r.view));
 	CU_ASSERT_TRUE(plat_view_rows_due(r.view));
-	tell_conf(&r);
-	tell_rows(&r, 300, TOLD(ROW_A, "1"));
+	receive_conf(&r);
+	receive_rows(&r, 300, ROWS(ROW_A, "1"));
 	CU_ASSERT_TRUE(plat_view_ready(r.view));
 	(void)run_most(r.k, r.loop, S / 2);
-	CU_ASSERT_EQUAL(r.rows + r.row_watches, 0);
+	CU_ASSERT_EQUAL(r.row_reads + r.row_watches, 0);
 	finish(&r);
 }
 
-/* Guards against a start that waits for others who never tell. */
+/* Guards against a start that waits for peers which never send rows. */
 static void
-test_start_is_told_nothing(void)
+test_start_receives_nothing(void)
 {
-	struct srig r = { .odd = true, .follows = true };
+	struct srig r = { .timed = true, .not_reader = true };
 
-	play(&r);
+	run_rig(&r);
 	(void)run_most(r.k, r.loop, 3 * S);
-	CU_ASSERT(r.rows > 0);
+	CU_ASSERT(r.row_reads > 0);
 	CU_ASSERT_TRUE(plat_view_ready(r.view));
 	finish(&r);
 }
 
-/* Guards against all pages read by each that is told nothing for a second. */
+/* Guards against reading all pages when peers send nothing for a second. */
 static void
 test_silence_costs_one_call(void)
 {
-	struct srig r = { .odd = true,
-		.follows = true,
+	struct srig r = { .timed = true,
+		.not_reader = true,
 		.row_watch = "{\"events\":[{\"key\":\"servers/a\",\"revision\":"
 			     "2,\"deleted\":true},{\"key\":\"servers/b\","
 			     "\"revision\":301,\"value\":\"e30=\"}],"
 			     "\"asOf\":302}" };
 	GBytes *text;
 
-	play(&r);
-	tell_rows(&r, 300, TOLD(ROW_A, "1"));
+	run_rig(&r);
+	receive_rows(&r, 300, ROWS(ROW_A, "1"));
 	(void)run_most(r.k, r.loop, 3 * S / 2);
-	CU_ASSERT_EQUAL(r.rows, 0);
+	CU_ASSERT_EQUAL(r.row_reads, 0);
 	CU_ASSERT(r.row_watches > 0 && r.row_watches <= 2);
-	/* What the watch brings from before is older than what was told. */
+	/* The watch's event of revision 2 is older than the peer's row. */
 	CU_ASSERT_EQUAL(plat_view_rows_revision(r.view), 301);
 	text = plat_view_rows_text(r.view, 0);
 	CU_ASSERT_PTR_NOT_NULL(
@@ -751,97 +755,99 @@
 	finish(&r);
 }
 
-/* Guards against starts that all ask for the configuration. */
+/* Guards against reading the configuration at each entry's start. */
 static void
-test_start_is_told_configuration(void)
+test_start_receives_conf(void)
 {
-	struct srig r = { .odd = true, .follows = true };
+	struct srig r = { .timed = true, .not_reader = true };
 
-	play(&r);
-	CU_ASSERT_EQUAL(r.confs, 0);
-	tell_conf(&r);
+	run_rig(&r);
+	CU_ASSERT_EQUAL(r.conf_reads, 0);
+	receive_conf(&r);
 	CU_ASSERT_TRUE(r.has_conf);
 	(void)run_most(r.k, r.loop, S / 2);
-	CU_ASSERT_EQUAL(r.confs + r.watches, 0);
+	CU_ASSERT_EQUAL(r.conf_reads + r.watches, 0);
 	finish(&r);
 }
 
 /*
- * Guards against a configuration that stays old since what others send of the
- * later one never arrives, or cannot be read.
+ * Guards against a configuration that stays stale because the later one sent by
+ * peers never arrives or is invalid.
  */
 static void
-test_behind_reads_itself(void)
+test_stale_conf_is_read(void)
 {
-	struct srig r = { .odd = true, .follows = true };
+	struct srig r = { .timed = true, .not_reader = true };
 
-	play(&r);
-	tell_conf(&r);
-	tell_rows(&r, 300, TOLD(ROW_A, "1"));
+	run_rig(&r);
+	receive_conf(&r);
+	receive_rows(&r, 300, ROWS(ROW_A, "1"));
 	(void)run_most(r.k, r.loop, S / 2);
-	CU_ASSERT_EQUAL(r.confs + r.watches, 0);
-	r.behind = true;
+	CU_ASSERT_EQUAL(r.conf_reads + r.watches, 0);
+	r.conf_stale = true;
 	(void)run_most(r.k, r.loop, S / 2);
-	CU_ASSERT_EQUAL(r.confs, 1);
+	CU_ASSERT_EQUAL(r.conf_reads, 1);
 	(void)run_most(r.k, r.loop, 2 * S);
-	CU_ASSERT(r.confs >= 2 && r.confs <= 3);
-	r.behind = false;
-	r.confs = 0;
+	CU_ASSERT(r.conf_reads >= 2 && r.conf_reads <= 3);
+	r.conf_stale = false;
+	r.conf_reads = 0;
 	(void)run_most(r.k, r.loop, S);
-	CU_ASSERT_EQUAL(r.confs, 0);
+	CU_ASSERT_EQUAL(r.conf_reads, 0);
 	finish(&r);
 }
 
-/* Guards against a start that has no others to tell it anything. */
+/* Guards against a start that waits for peers when there are none. */
 static void
-test_start_alone(void)
+test_start_without_peers(void)
 {
-	struct srig r = { .odd = true, .follows = true, .alone = true };
+	struct srig r = { .timed = true, .not_reader = true, .alone = true };
 
-	play(&r);
+	run_rig(&r);
 	(void)run_most(r.k, r.loop, S);
-	CU_ASSERT(r.confs > 0);
+	CU_ASSERT(r.conf_reads > 0);
 	CU_ASSERT_TRUE(r.has_conf);
 	finish(&r);
 }
 
-/* Guards against all who ask for a configuration that nobody has written. */
+/* Guards against frequent calls while there is no configuration. */
 static void
 test_no_configuration_yet(void)
 {
-	struct srig r = { .odd = true, .alone = true, .written = NOTHING };
+	struct srig r = { .timed = true, .alone = true, .written = NOTHING };
 
-	play(&r);
-	CU_ASSERT(r.confs > 0 && r.confs <= 2);
+	run_rig(&r);
+	CU_ASSERT(r.conf_reads > 0 && r.conf_reads <= 2);
 	r.alone = false;
-	r.follows = true;
-	r.confs = 0;
+	r.not_reader = true;
+	r.conf_reads = 0;
 	(void)run_most(r.k, r.loop, 2 * S);
-	CU_ASSERT(r.confs <= 1);
+	CU_ASSERT(r.conf_reads <= 1);
 	finish(&r);
 }
 
 const struct test tests_store[] = {
-	{ "store: one call finds it back", test_one_call_finds_it_back },
+	{ "store: one call detects its recovery",
+	    test_one_call_detects_recovery },
 	{ "store: all is read at once", test_all_is_read_at_once },
-	{ "store: pages are of the first", test_pages_are_of_the_first },
-	{ "store: odd pages", test_odd_pages },
-	{ "store: odd watches", test_odd_watches },
-	{ "store: odd configuration", test_odd_conf },
+	{ "store: a reading has its first page's revision",
+	    test_first_page_revision },
+	{ "store: malformed pages", test_malformed_pages },
+	{ "store: empty or malformed watches", test_malformed_watches },
+	{ "store: configuration without a value", test_conf_without_value },
 	{ "evacuated failure domains", test_evacuated },
-	{ "store: odd members", test_odd_members },
-	{ "store: pages of members", test_pages_of_members },
+	{ "store: malformed pages of entries", test_malformed_entry_pages },
+	{ "store: pages of entries", test_entry_pages },
 	{ "store: a start reads one page", test_start_reads_one_page },
-	{ "store: a list that another tells", test_told_list },
-	{ "store: listed entries that are gone", test_listed_gone },
-	{ "store: a start is told its rows", test_start_is_told_rows },
-	{ "store: a start is told nothing", test_start_is_told_nothing },
+	{ "store: a list received from a peer", test_peer_list },
+	{ "store: listed entries that departed", test_listed_departed },
+	{ "store: a start receives its rows", test_start_receives_rows },
+	{ "store: a start receives nothing", test_start_receives_nothing },
 	{ "store: silence costs one call", test_silence_costs_one_call },
-	{ "store: a start is told the configuration",
-	    test_start_is_told_configuration },
-	{ "store: who is behind reads it itself", test_behind_reads_itself },
-	{ "store: a start alone", test_start_alone },
+	{ "store: a start receives the configuration",
+	    test_start_receives_conf },
+	{ "store: a stale configuration is read", test_stale_conf_is_read },
+	{ "store: a start without peers", test_start_without_peers },
 	{ "store: no configuration yet", test_no_configuration_yet },
-	{ "store: a few seek it", test_few_seek_it },
+	{ "store: few entries probe it", test_few_probe },
 	{ NULL, NULL },
 };
--- a/regress/t_slow.c
+++ b/regress/t_slow.c
@@ -1,6 +1,6 @@
 /**
- * DOC: Answers of the store that come slowly: over loopback, from a stand-in
- * that sends each in pieces.
+ * DOC: Slow responses of the store: over loopback, from a stand-in that sends
+ * each in pieces.
  */
 
 #include "platform.h"
@@ -21,15 +21,15 @@
 #define EVENTS(item) "{\"events\":[" item "],\"asOf\":9}"
 #define ROW "{\"key\":\"servers/a\",\"revision\":4,\"value\":\"e30=\"}"
 
-/** struct pieces - how an answer is sent. */
+/** struct pieces - how a response is sent. */
 struct pieces {
-	uint32_t count; /* a piece each PIECE_US; 0: at once */
-	uint32_t silent_after; /* nothing comes behind so many; 0: all come */
+	uint32_t count; /* one each PIECE_US; 0: all at once */
+	uint32_t silent_after; /* pieces sent before it stalls; 0: never */
 };
 
-enum asked { WRITTEN, WRITTEN_WATCH, ROWS, ROWS_WATCH, OTHER, KINDS };
+enum request_kind { WRITTEN, WRITTEN_WATCH, ROWS, ROWS_WATCH, OTHER, KINDS };
 
-/** struct wrig - a store whose answers come in pieces, and its reader. */
+/** struct wrig - a store that responds in pieces, and a view that reads it. */
 struct wrig {
 	struct mh_kern *k;
 	struct mh_loop *loop;
@@ -39,13 +39,13 @@
 	struct plat_store *store;
 	struct plat_view *view;
 	struct pieces sent[KINDS];
-	const char *text[KINDS]; /* NULL: nothing new, after the wait */
-	uint32_t asked[KINDS];
-	uint64_t version; /* in force */
+	const char *text[KINDS]; /* responses; NULL: no events */
+	uint32_t requests[KINDS];
+	uint64_t version; /* of the configuration in force */
 	GPtrArray *sending; /* struct sending */
 };
 
-/** struct sending - an answer on its way. */
+/** struct sending - a response being sent. */
 struct sending {
 	struct wrig *r;
 	struct mh_hreq *q;
@@ -83,8 +83,8 @@
 	}
 }
 
-static enum asked
-asked_for(const char *target)
+static enum request_kind
+kind_of_request(const char *target)
 {
 	bool rows = strstr(target, "pathPrefix=" PLAT_REGISTRY_PREFIX) != NULL;
 
@@ -99,7 +99,7 @@
 on_request(void *arg, struct mh_hreq *q)
 {
 	struct wrig *r = arg;
-	enum asked kind = asked_for(mh_hreq_target(q));
+	enum request_kind kind = kind_of_request(mh_hreq_target(q));
 	struct sending *s = g_new0(struct sending, 1);
 	struct mh_headers *h = mh_headers_create();
 
@@ -108,7 +108,7 @@
 	s->p = r->sent[kind];
 	s->p.count = MAX(s->p.count, 1);
 	s->text = r->text[kind] != NULL ? r->text[kind] : EVENTS("");
-	r->asked[kind]++;
+	r->requests[kind]++;
 	mh_hreq_set_data(q, s);
 	g_ptr_array_add(r->sending, s);
 	mh_headers_add(h, "Content-Type", "application/json");
@@ -118,7 +118,7 @@
 }
 
 static void
-on_gone(void *arg, struct mh_hreq *q)
+on_disconnect(void *arg, struct mh_hreq *q)
 {
 	struct wrig *r = arg;
 
@@ -160,12 +160,12 @@
 }
 
 static void
-play(struct wrig *r, int64_t us)
+run_rig(struct wrig *r, int64_t us)
 {
 	struct mh_hserve_args a = { .listen = "127.0.0.1:0",
 		.limits = { 4096, 65536, 3 * S, 9 * S },
 		.on_request = on_request,
-		.on_gone = on_gone,
+		.on_gone = on_disconnect,
 		.arg = r };
 	struct plat_view_fns fns = { on_conf, on_evacuated, yes, yes, no, r,
 		2 * S, NULL };
@@ -181,7 +181,7 @@
 	r->fleet = mh_fleet_create(r->k);
 	r->store = plat_store_create(r->k, r->calls, addr);
 	r->view = plat_view_create(r->k, r->store, r->fleet, &fns);
-	/* As at every start, one call finds the store. */
+	/* As at every start, one call finds out that the store answers. */
 	plat_store_call(r->store, "GET",
 	    "/kv-range?pathPrefix=" PLAT_OWN_PREFIX, NULL, S, on_first, r);
 	(void)run_most(r->k, r->loop, us);
@@ -207,7 +207,7 @@
 	struct wrig r = { .text = { ITEMS(CONF(3, VALUE_3)), NULL, ITEMS("") },
 		.sent = { { 12, 0 } } };
 
-	play(&r, 2 * S);
+	run_rig(&r, 2 * S);
 	CU_ASSERT_EQUAL(r.version, 3);
 	finish(&r);
 }
@@ -220,9 +220,9 @@
 			      EVENTS(CONF(3, VALUE_3)), ITEMS("") },
 		.sent = { { 0, 0 }, { 28, 0 } } };
 
-	play(&r, 4500 * MS);
+	run_rig(&r, 4500 * MS);
 	CU_ASSERT_EQUAL(r.version, 3);
-	CU_ASSERT_EQUAL(r.asked[WRITTEN_WATCH], 2);
+	CU_ASSERT_EQUAL(r.requests[WRITTEN_WATCH], 2);
 	finish(&r);
 }
 
@@ -233,17 +233,17 @@
 	struct wrig r = { .text = { ITEMS(CONF(3, VALUE_3)), NULL, ITEMS(ROW) },
 		.sent = { { 0, 0 }, { 0, 0 }, { 18, 0 } } };
 
-	play(&r, 4 * S);
+	run_rig(&r, 4 * S);
 	CU_ASSERT_TRUE(plat_view_ready(r.view));
 	finish(&r);
 }
 
-/* Guards against others that count on one whom the store answers too slowly. */
+/* Guards against a reader to which the store responds too slowly. */
 static void
 test_slow_reader(void)
 {
 	static const struct {
-		uint32_t pieces; /* of what the watch brings */
+		uint32_t pieces; /* of the watch's response */
 		int64_t us;
 		bool reads;
 	} t[] = { { 60, 1500 * MS, true }, { 60, 3800 * MS, false },
@@ -254,14 +254,14 @@
 				      EVENTS(CONF(3, VALUE_3)), ITEMS(ROW) },
 			.sent = { { 0, 0 }, { t[i].pieces, 0 } } };
 
-		play(&r, t[i].us);
+		run_rig(&r, t[i].us);
 		CU_ASSERT_TRUE(plat_view_ready(r.view));
 		CU_ASSERT_EQUAL(plat_view_reads(r.view), t[i].reads);
 		finish(&r);
 	}
 }
 
-/* A value may have some megabytes, and a watch may bring two of them. */
+/* A value may have some megabytes, and a watch may return two of them. */
 static char *
 large_conf(size_t len)
 {
@@ -282,42 +282,42 @@
 	return text;
 }
 
-/* Guards against a document that is cut off as it is read. */
+/* Guards against a document that is truncated when it is read. */
 static void
 test_large_document(void)
 {
 	char *text = large_conf(4U << 20);
 	struct wrig r = { .text = { text, NULL, ITEMS("") } };
 
-	play(&r, 3 * S);
+	run_rig(&r, 3 * S);
 	CU_ASSERT_EQUAL(r.version, 3);
 	finish(&r);
 	g_free(text);
 }
 
-/* Guards against a narrow link that carries the same document all the time. */
+/* Guards against reading the same document all the time on a slow link. */
 static void
 test_slow_whole_readings(void)
 {
 	struct wrig r = { .text = { ITEMS(CONF(3, VALUE_3)), NULL, ITEMS("") },
 		.sent = { { 6, 0 } } };
 
-	play(&r, 4200 * MS);
+	run_rig(&r, 4200 * MS);
 	CU_ASSERT_EQUAL(r.version, 3);
-	CU_ASSERT_EQUAL(r.asked[WRITTEN], 1);
+	CU_ASSERT_EQUAL(r.requests[WRITTEN], 1);
 	finish(&r);
 }
 
-/* Guards against a call that waits on for an answer that has stopped coming. */
+/* Guards against a call that waits for a response that has stalled. */
 static void
-test_silence_in_an_answer(void)
+test_stalled_response(void)
 {
 	struct wrig r = { .text = { ITEMS(CONF(3, VALUE_3)), NULL, ITEMS("") },
 		.sent = { { 12, 3 } } };
 
-	play(&r, 2500 * MS);
+	run_rig(&r, 2500 * MS);
 	CU_ASSERT_EQUAL(r.version, 0);
-	CU_ASSERT(r.asked[WRITTEN] >= 2);
+	CU_ASSERT(r.requests[WRITTEN] >= 2);
 	finish(&r);
 }
 
@@ -328,6 +328,6 @@
 	{ "slow: a reader", test_slow_reader },
 	{ "slow: a document of some megabytes", test_large_document },
 	{ "slow: whole readings", test_slow_whole_readings },
-	{ "slow: silence in an answer", test_silence_in_an_answer },
+	{ "slow: a response that stalls", test_stalled_response },
 	{ NULL, NULL },
 };
