--- a/lib/admin.c
+++ b/lib/admin.c
@@ -91,5 +91,5 @@
 void
 mh_admin_create(struct mh_kern *k)
 {
-	mh_hub_on(k, MH__FRAME__BODY_STATE_ASK, on_state_ask, k);
+	mh_hub_set_handler(k, MH__FRAME__BODY_STATE_ASK, on_state_ask, k);
 }
--- a/lib/claim.c
+++ b/lib/claim.c
@@ -94,7 +94,7 @@
 	 * its process, if it still runs, starts nothing more.
 	 */
 	return c->part[p].open && c->part[p].move == MOVE_NONE &&
-	    mine(c, mh_owners_part(c->owners, p)) && !mh_member_dropped(k);
+	    mine(c, mh_owners_part(c->owners, p)) && !mh_member_self_removed(k);
 }
 
 bool
@@ -166,7 +166,7 @@
 	char what[64];
 
 	snprintf(what, sizeof(what), "%s/%u", c->pool, p);
-	return mh_member_winner(c->k, c->pool, what);
+	return mh_member_pick_side(c->k, c->pool, what);
 }
 
 static void
@@ -234,7 +234,7 @@
 			mh_count(c->k, "claim_given", 1);
 		}
 	}
-	mh_member_each(c->k, tell_entry, c);
+	mh_member_foreach(c->k, tell_entry, c);
 }
 
 /*
@@ -263,7 +263,8 @@
 		    next, p, c->vm, c->inc, t->epoch + 1, fresh_bound(c));
 		return true;
 	}
-	if (t->vm[0] != '\0' && !mh_member_gone(c->k, t->vm, pol->vm_gone_us))
+	if (t->vm[0] != '\0' &&
+	    !mh_member_is_removed(c->k, t->vm, pol->vm_gone_us))
 		return false;
 	win = winner(c, p);
 	if (win == NULL || strcmp(win, c->vm) != 0)
@@ -634,8 +635,8 @@
 	c->owners = mh_owners_create(pool);
 	c->started_us = mh_now(k);
 	mh_kern_add(k, "claim", c, handle, destroy);
-	mh_hub_on(k, MH__FRAME__BODY_HANDOVER, on_handover, c);
-	mh_hub_on(k, MH__FRAME__BODY_HANDOVER_ACK, on_handover_ack, c);
+	mh_hub_set_handler(k, MH__FRAME__BODY_HANDOVER, on_handover, c);
+	mh_hub_set_handler(k, MH__FRAME__BODY_HANDOVER_ACK, on_handover_ack, c);
 	mh_member_on_link(k, on_link, c);
 	c->tick = mh_timer_start(k, 0, on_tick, c);
 }
--- a/lib/conf.c
+++ b/lib/conf.c
@@ -138,7 +138,7 @@
 
 		l->fn(l->arg, d);
 	}
-	mh_member_each(k, announce, c);
+	mh_member_foreach(k, announce, c);
 	return true;
 }
 
@@ -379,7 +379,7 @@
 	c->tick = mh_timer_start(c->k, TICK_US, on_tick, c);
 	if (c->token != 0 || mh_now(c->k) < c->kv_at_us)
 		return;
-	if (mh_member_watcher(c->k, "config") || c->decl == NULL)
+	if (mh_member_is_watcher(c->k, "config") || c->decl == NULL)
 		kv_ask(c, MH_KV_WATCH, MH_CONF_HEAD);
 }
 
@@ -465,7 +465,7 @@
 
 	return json_pack("{s:I, s:b, s:b}", "generation",
 	    (json_int_t)mh_conf_generation(k), "watching",
-	    mh_member_watcher(k, "config"), "kv_waiting", c->token != 0);
+	    mh_member_is_watcher(k, "config"), "kv_waiting", c->token != 0);
 }
 
 static void
@@ -501,7 +501,7 @@
 	c->listeners = g_array_new(FALSE, FALSE, sizeof(struct listener));
 	g_queue_init(&c->kept);
 	mh_kern_add(k, "conf", c, handle, destroy);
-	mh_hub_on(k, MH__FRAME__BODY_CONFIG_ASK, on_config_ask, c);
-	mh_hub_on(k, MH__FRAME__BODY_CONFIG, on_config, c);
+	mh_hub_set_handler(k, MH__FRAME__BODY_CONFIG_ASK, on_config_ask, c);
+	mh_hub_set_handler(k, MH__FRAME__BODY_CONFIG, on_config, c);
 	c->tick = mh_timer_start(k, 0, on_tick, c);
 }
--- a/lib/entry.c
+++ b/lib/entry.c
@@ -518,7 +518,7 @@
 settled(struct entry *e)
 {
 	return mh_conf_get(e->k) != NULL && mh_member_has_list(e->k) &&
-	    mh_member_links(e->k) > 0;
+	    mh_member_link_count(e->k) > 0;
 }
 
 /* Not longer than the start may take, nor than this entry is there. */
@@ -724,6 +724,6 @@
 	e->lookups = g_hash_table_new_full(
 	    g_int64_hash, g_int64_equal, NULL, outcome_free);
 	mh_kern_add(k, "entry", e, handle, destroy);
-	mh_hub_on(k, MH__FRAME__BODY_OWNERS, on_owners, e);
-	mh_hub_on(k, MH__FRAME__BODY_OUTCOMES, outcome_take, e);
+	mh_hub_set_handler(k, MH__FRAME__BODY_OWNERS, on_owners, e);
+	mh_hub_set_handler(k, MH__FRAME__BODY_OUTCOMES, outcome_take, e);
 }
--- a/lib/hub.c
+++ b/lib/hub.c
@@ -51,7 +51,7 @@
 		break;
 	case MH_MSG_LINK_UP:
 	case MH_MSG_LINK_DOWN:
-		mh_member_link(h->k, m);
+		mh_member_link_changed(h->k, m);
 		break;
 	case MH_MSG_LINK_HEARD: /* progress is proved by pongs only */
 		break;
@@ -71,7 +71,7 @@
 }
 
 void
-mh_hub_on(
+mh_hub_set_handler(
     struct mh_kern *k, Mh__Frame__BodyCase kind, mh_frame_fn fn, void *arg)
 {
 	struct hub *h = mh_kern_get(k, "hub");
--- a/lib/limit.c
+++ b/lib/limit.c
@@ -87,7 +87,7 @@
 {
 	if (o->grant.until_us > mh_now(l->k))
 		return o->grant.rate;
-	return rate / (double)mh_member_entries(l->k);
+	return rate / (double)mh_member_entry_count(l->k);
 }
 
 static void
@@ -134,7 +134,7 @@
 static uint32_t
 stream_cap(struct limit *l, const struct mh_org *org)
 {
-	uint32_t n = mh_member_entries(l->k);
+	uint32_t n = mh_member_entry_count(l->k);
 
 	return (org->streams + n - 1) / n;
 }
@@ -155,7 +155,8 @@
 			return -1;
 		o->asked += units;
 		refill(l, &o->b, share(l, o, org->units_per_s),
-		    org->burst_units / (double)mh_member_entries(k) + units);
+		    org->burst_units / (double)mh_member_entry_count(k) +
+			units);
 		wait = wait_us(&o->b, units);
 	}
 	if (org->streams > 0 && o->b.streams >= stream_cap(l, org))
@@ -241,7 +242,7 @@
 static void
 ask_home(struct limit *l, struct org *o, const struct mh_org *decl)
 {
-	const char *home = mh_member_home(l->k, o->name);
+	const char *home = mh_member_pick_entry(l->k, o->name);
 	Mh__Frame f = MH__FRAME__INIT;
 	Mh__GrantAsk ask = MH__GRANT_ASK__INIT;
 	struct mh_peer *p;
@@ -391,7 +392,7 @@
 	l->keys =
 	    g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 	mh_kern_add(k, "limit", l, NULL, destroy);
-	mh_hub_on(k, MH__FRAME__BODY_GRANT_ASK, on_grant_ask, l);
-	mh_hub_on(k, MH__FRAME__BODY_GRANT, on_grant, l);
+	mh_hub_set_handler(k, MH__FRAME__BODY_GRANT_ASK, on_grant_ask, l);
+	mh_hub_set_handler(k, MH__FRAME__BODY_GRANT, on_grant, l);
 	l->tick = mh_timer_start(k, TICK_US, on_tick, l);
 }
--- a/lib/marlhoist.h
+++ b/lib/marlhoist.h
@@ -468,8 +468,8 @@
 typedef void (*mh_frame_fn)(void *arg, uint64_t conn, const Mh__Frame *f);
 
 void mh_hub_create(struct mh_kern *k);
-/** mh_hub_on() - sets the only handler of the frames of one kind. */
-void mh_hub_on(
+/** mh_hub_set_handler() - sets the only handler of the frames of one kind. */
+void mh_hub_set_handler(
     struct mh_kern *k, Mh__Frame__BodyCase kind, mh_frame_fn fn, void *arg);
 
 /* rules.c */
@@ -533,13 +533,13 @@
 	char *pool;
 	char *domain;
 	bool listed; /* on the newest VM list */
-	bool list_leaving; /* draining by the VM list */
+	bool list_draining; /* draining by the VM list */
 	bool draining; /* by its own report */
 	int64_t absent_since_us; /* left the VM list, 0: listed */
 	/* link */
 	uint64_t conn; /* the link in use, 0 for none */
-	bool conn_ours; /* dialed by this process */
-	uint64_t dial; /* the link being opened, 0: none */
+	bool conn_outbound; /* dialed by this process */
+	uint64_t dial_conn; /* the link being opened, 0: none */
 	bool up;
 	uint64_t incarnation;
 	int64_t last_rx_us;
@@ -549,20 +549,20 @@
 	int64_t up_since_us; /* when this incarnation was first linked */
 	uint32_t dial_failures;
 	/* load, maintained by route.c */
-	uint32_t own; /* calls of this process in flight there */
+	uint32_t own_calls; /* calls of this process in flight there */
 	uint32_t load_running;
 	uint32_t load_queued;
 	uint32_t load_slots;
-	uint32_t load_own; /* own_calls when the load was reported */
+	uint32_t load_own_calls; /* own_calls when the load was reported */
 	uint64_t load_wait_us[MH_PRIORITIES];
 	int64_t load_at_us;
-	int64_t sent_us; /* last call of this process, 0: none */
+	int64_t last_call_us; /* last call of this process, 0: none */
 	double ewma_us; /* smoothed endpoint time of one call */
-	uint32_t fails; /* failed calls in a row */
+	uint32_t fail_streak; /* failed calls in a row */
 	int64_t eject_until_us;
 	int64_t eject_for_us;
-	bool wanted; /* see mh_subset_choose() */
-	bool kept; /* set by mh_member_dial() */
+	bool in_subset; /* see mh_subset_choose() */
+	bool keep_link; /* set by mh_member_dial() */
 	uint64_t generation; /* newest configuration seen in its frames */
 	void *calls; /* open calls there, owned by relay.c */
 };
@@ -576,23 +576,23 @@
 struct mh_peer *mh_member_find(struct mh_kern *k, const char *vm);
 struct mh_peer *mh_member_conn(struct mh_kern *k, uint64_t conn);
 /** mh_member_foreach() - calls @fn for every tracked peer. */
-void mh_member_each(struct mh_kern *k, mh_peer_fn fn, void *arg);
+void mh_member_foreach(struct mh_kern *k, mh_peer_fn fn, void *arg);
 /**
  * mh_member_usable() - whether @p takes new calls: linked, in the subset, not
  * draining, not off the VM list for long, its failure domain not evacuated.
  */
 bool mh_member_usable(struct mh_kern *k, const struct mh_peer *p);
 /** mh_member_vm_listed() - @vm is on the VM list or its row changed. */
-void mh_member_list(struct mh_kern *k, const struct mh_vm *vm);
+void mh_member_vm_listed(struct mh_kern *k, const struct mh_vm *vm);
 /** mh_member_vm_unlisted() - @vm is no longer on the VM list. */
-void mh_member_unlist(struct mh_kern *k, const char *vm);
+void mh_member_vm_unlisted(struct mh_kern *k, const char *vm);
 /** mh_member_refresh() - chooses the links again after a list change. */
 void mh_member_refresh(struct mh_kern *k);
-uint32_t mh_member_links(struct mh_kern *k);
+uint32_t mh_member_link_count(struct mh_kern *k);
 bool mh_member_draining(struct mh_kern *k);
 /** mh_member_dial() - opens a link to @p and keeps it open from now on. */
 void mh_member_dial(struct mh_kern *k, struct mh_peer *p);
-enum mh_link_event { MH_LINK_SAME, MH_LINK_OTHER, MH_LINK_FAILED };
+enum mh_link_event { MH_LINK_UP, MH_LINK_UP_RESTARTED, MH_LINK_FAILED };
 typedef void (*mh_link_fn)(
     void *arg, struct mh_peer *p, enum mh_link_event ev, uint64_t conn);
 
@@ -606,7 +606,7 @@
 void mh_member_on_link(struct mh_kern *k, mh_link_fn fn, void *arg);
 /** mh_member_rx() - records that @f came from @conn, and its load report. */
 void mh_member_rx(struct mh_kern *k, uint64_t conn, const Mh__Frame *f);
-void mh_member_link(struct mh_kern *k, struct mh_msg *msg);
+void mh_member_link_changed(struct mh_kern *k, struct mh_msg *msg);
 /** mh_member_drain() - reports to every linked peer that we are draining. */
 void mh_member_drain(struct mh_kern *k);
 json_t *mh_member_state(struct mh_kern *k);
@@ -632,25 +632,25 @@
 void mh_roster_create(
     struct mh_kern *k, const char *vm, const char *domain, const char *pool);
 /** mh_member_is_removed() - whether @vm left the list over @after_us ago. */
-bool mh_member_gone(struct mh_kern *k, const char *vm, int64_t after_us);
+bool mh_member_is_removed(struct mh_kern *k, const char *vm, int64_t after_us);
 /** mh_member_has_list() - whether the VM list was ever read. */
 bool mh_member_has_list(struct mh_kern *k);
 /** mh_member_self_removed() - this VM was listed and no longer is. */
-bool mh_member_dropped(struct mh_kern *k);
+bool mh_member_self_removed(struct mh_kern *k);
 /**
  * mh_member_is_watcher() - whether this process reads @key from the platform
  * for its failure domain; the others get it from the watchers.
  */
-bool mh_member_watcher(struct mh_kern *k, const char *key);
+bool mh_member_is_watcher(struct mh_kern *k, const char *key);
 /** mh_member_entry_count() - listed entries that serve, at least 1. */
-uint32_t mh_member_entries(struct mh_kern *k);
+uint32_t mh_member_entry_count(struct mh_kern *k);
 /**
  * mh_member_pick_entry() - the entry for @key by rendezvous hashing of those
  * listed and not draining; NULL if there is none.
  */
-const char *mh_member_home(struct mh_kern *k, const char *key);
+const char *mh_member_pick_entry(struct mh_kern *k, const char *key);
 /** mh_member_pick_side() - the same among the side processes of @pool. */
-const char *mh_member_winner(
+const char *mh_member_pick_side(
     struct mh_kern *k, const char *pool, const char *key);
 json_t *mh_roster_state(struct mh_kern *k);
 
--- a/lib/member.c
+++ b/lib/member.c
@@ -126,7 +126,7 @@
 }
 
 void
-mh_member_each(struct mh_kern *k, mh_peer_fn fn, void *arg)
+mh_member_foreach(struct mh_kern *k, mh_peer_fn fn, void *arg)
 {
 	GHashTableIter it;
 	gpointer p;
@@ -139,7 +139,7 @@
 static bool
 is_draining(const struct mh_peer *p)
 {
-	return p->draining || p->list_leaving;
+	return p->draining || p->list_draining;
 }
 
 static bool
@@ -160,8 +160,8 @@
 bool
 mh_member_usable(struct mh_kern *k, const struct mh_peer *p)
 {
-	return p->up && p->wanted && !is_draining(p) && !is_absent(get(k), p) &&
-	    !domain_evacuated(k, p);
+	return p->up && p->in_subset && !is_draining(p) &&
+	    !is_absent(get(k), p) && !domain_evacuated(k, p);
 }
 
 void
@@ -205,25 +205,25 @@
 static void
 dial(struct member *mb, struct mh_peer *p)
 {
-	p->dial = mh_next_id(mb->k);
+	p->dial_conn = mh_next_id(mb->k);
 	p->dialed_us = mh_now(mb->k);
-	map_conn(mb, p->dial, p);
-	mh_link_dial(mb->k, p->dial, p->addr);
+	map_conn(mb, p->dial_conn, p);
+	mh_link_dial(mb->k, p->dial_conn, p->addr);
 }
 
 void
 mh_member_dial(struct mh_kern *k, struct mh_peer *p)
 {
-	p->kept = true;
-	if (!p->up && p->dial == 0 && p->addr[0] != '\0')
+	p->keep_link = true;
+	if (!p->up && p->dial_conn == 0 && p->addr[0] != '\0')
 		dial(get(k), p);
 }
 
 static void
 dial_failed(struct member *mb, struct mh_peer *p)
 {
-	drop_conn(mb, p->dial);
-	p->dial = 0;
+	drop_conn(mb, p->dial_conn);
+	p->dial_conn = 0;
 	if (p->dial_failures < 16)
 		p->dial_failures++;
 	/* Close a link that answers no ping and could not be replaced. */
@@ -252,7 +252,7 @@
 		return;
 	}
 	p->conn = l->conn;
-	p->dial = 0;
+	p->dial_conn = 0;
 	p->up = true;
 	p->dial_failures = 0;
 	p->incarnation = l->incarnation;
@@ -261,19 +261,19 @@
 	if (old_inc != l->incarnation) {
 		p->up_since_us = mh_now(mb->k);
 		p->draining = false;
-		p->fails = 0;
+		p->fail_streak = 0;
 	}
 	/*
 	 * Close the old link only if this process dialed it.  A link that
 	 * the peer dialed is closed by the peer; otherwise two processes that
 	 * dial each other would close each other's links for ever.
 	 */
-	if (old != 0 && old != l->conn && p->conn_ours)
+	if (old != 0 && old != l->conn && p->conn_outbound)
 		drop_conn(mb, old);
-	p->conn_ours = true;
+	p->conn_outbound = true;
 	notify(mb, p,
-	    old_inc == 0 || old_inc == l->incarnation ? MH_LINK_SAME
-						      : MH_LINK_OTHER,
+	    old_inc == 0 || old_inc == l->incarnation ? MH_LINK_UP
+						      : MH_LINK_UP_RESTARTED,
 	    l->conn);
 }
 
@@ -290,14 +290,14 @@
 		set_str(&p->addr, l->addr);
 	map_conn(mb, l->conn, p);
 	mb->links++;
-	if (!p->up || !p->kept) {
+	if (!p->up || !p->keep_link) {
 		p->conn = l->conn;
-		p->conn_ours = false;
+		p->conn_outbound = false;
 		p->up = true;
 		p->incarnation = l->incarnation;
 	}
 	p->last_rx_us = mh_now(mb->k);
-	notify(mb, p, MH_LINK_SAME, l->conn);
+	notify(mb, p, MH_LINK_UP, l->conn);
 }
 
 static void
@@ -308,9 +308,9 @@
 	if (p == NULL)
 		return;
 	g_hash_table_remove(mb->conns, &conn);
-	if (mb->links > 0 && conn != p->dial)
+	if (mb->links > 0 && conn != p->dial_conn)
 		mb->links--;
-	if (conn == p->dial) {
+	if (conn == p->dial_conn) {
 		dial_failed(mb, p);
 		return;
 	}
@@ -319,13 +319,13 @@
 	p->conn = 0;
 	p->up = false;
 	/* Dial at once: if the peer runs, calls resume in a round trip. */
-	if ((p->wanted || p->kept) && p->dial == 0 &&
+	if ((p->in_subset || p->keep_link) && p->dial_conn == 0 &&
 	    mh_now(mb->k) - p->dialed_us > REDIAL_MIN_US)
 		dial(mb, p);
 }
 
 void
-mh_member_link(struct mh_kern *k, struct mh_msg *m)
+mh_member_link_changed(struct mh_kern *k, struct mh_msg *m)
 {
 	struct member *mb = get(k);
 	const struct mh_link_msg *l = &m->u.link;
@@ -340,7 +340,7 @@
 		return;
 	}
 	p = mh_member_conn(k, l->conn);
-	if (p == NULL || p->dial != l->conn)
+	if (p == NULL || p->dial_conn != l->conn)
 		mh_link_close(k, l->conn);
 	else
 		link_up_outbound(mb, p, l);
@@ -380,7 +380,7 @@
 {
 	int64_t now = mh_now(mb->k);
 
-	if (p->own > 0)
+	if (p->own_calls > 0)
 		return now - p->last_rx_us > BUSY_PING_US ||
 		    now - p->pong_at_us > FLOW_PING_US;
 	return now - p->pong_at_us >
@@ -402,7 +402,8 @@
 			send_ping(mb, p);
 		return;
 	}
-	if (mh_now(mb->k) - p->ping_at_us <= PING_TIMEOUT_US || p->dial != 0)
+	if (mh_now(mb->k) - p->ping_at_us <= PING_TIMEOUT_US ||
+	    p->dial_conn != 0)
 		return;
 	mh_count(mb->k, "member_silent_links", 1);
 	mh_log(mb->k, "member", "No pong on the link, dialing again: vm=%s.",
@@ -426,15 +427,15 @@
 	struct member *mb = arg;
 	int64_t now = mh_now(mb->k);
 
-	if (p->dial != 0 && now - p->dialed_us > DIAL_TIMEOUT_US) {
+	if (p->dial_conn != 0 && now - p->dialed_us > DIAL_TIMEOUT_US) {
 		dial_failed(mb, p);
 		return;
 	}
-	if (!p->wanted && !p->kept)
+	if (!p->in_subset && !p->keep_link)
 		return;
 	if (p->up)
 		check_link(mb, p);
-	else if (p->dial == 0 && p->listed &&
+	else if (p->dial_conn == 0 && p->listed &&
 	    now - p->dialed_us > redial_delay_us(mb, p))
 		dial(mb, p);
 }
@@ -445,11 +446,11 @@
 {
 	struct member *mb = arg;
 
-	p->wanted = wanted;
-	if (wanted && !p->up && p->dial == 0 && p->listed)
+	p->in_subset = wanted;
+	if (wanted && !p->up && p->dial_conn == 0 && p->listed)
 		dial(mb, p);
 	/* Never close a link that still carries calls. */
-	if (!wanted && !p->kept && p->up && p->own == 0) {
+	if (!wanted && !p->keep_link && p->up && p->own_calls == 0) {
 		drop_conn(mb, p->conn);
 		p->conn = 0;
 		p->up = false;
@@ -465,7 +466,7 @@
 }
 
 void
-mh_member_list(struct mh_kern *k, const struct mh_vm *vm)
+mh_member_vm_listed(struct mh_kern *k, const struct mh_vm *vm)
 {
 	struct member *mb = get(k);
 	struct mh_peer *p = peer_for(mb, vm->id, vm->role, vm->pool);
@@ -476,12 +477,12 @@
 	}
 	set_str(&p->domain, vm->domain);
 	p->listed = true;
-	p->list_leaving = vm->leaving;
+	p->list_draining = vm->leaving;
 	p->absent_since_us = 0;
 }
 
 void
-mh_member_unlist(struct mh_kern *k, const char *vm)
+mh_member_vm_unlisted(struct mh_kern *k, const char *vm)
 {
 	struct mh_peer *p = mh_member_find(k, vm);
 
@@ -506,8 +507,8 @@
 	struct member *mb = arg;
 
 	(void)key;
-	if (p->up || p->dial != 0 || p->calls != NULL || p->own > 0 ||
-	    p->absent_since_us == 0 ||
+	if (p->up || p->dial_conn != 0 || p->calls != NULL ||
+	    p->own_calls > 0 || p->absent_since_us == 0 ||
 	    mh_now(mb->k) - p->absent_since_us < PEER_KEEP_US)
 		return FALSE;
 	g_ptr_array_remove(pool_of(mb, p->pool), p);
@@ -521,7 +522,7 @@
 	struct member *mb = get(k);
 	struct mh_subset_args args = { .vm = mb->vm,
 		.domain = mb->domain,
-		.entries = mh_member_entries(k) };
+		.entries = mh_member_entry_count(k) };
 	GHashTableIter it;
 	gpointer pool;
 
@@ -534,7 +535,7 @@
 }
 
 uint32_t
-mh_member_links(struct mh_kern *k)
+mh_member_link_count(struct mh_kern *k)
 {
 	return get(k)->links;
 }
@@ -553,9 +554,9 @@
 	mb->tick = mh_timer_start(mb->k, TICK_US, on_tick, mb);
 	if (mb->entry) {
 		mb->links = 0;
-		mh_member_each(mb->k, count_links, mb);
+		mh_member_foreach(mb->k, count_links, mb);
 	}
-	mh_member_each(mb->k, maintain_peer, mb);
+	mh_member_foreach(mb->k, maintain_peer, mb);
 }
 
 static void
@@ -609,7 +610,7 @@
 mh_member_drain(struct mh_kern *k)
 {
 	get(k)->draining = true;
-	mh_member_each(k, send_drain, get(k));
+	mh_member_foreach(k, send_drain, get(k));
 }
 
 static void
@@ -628,8 +629,8 @@
 	json_t *o = json_pack(
 	    "{s:s, s:s, s:s, s:b, s:b, s:b, s:b, s:i, s:i, s:i, s:I}", "vm",
 	    p->vm, "role", p->role, "pool", p->pool, "up", p->up, "listed",
-	    p->listed, "leaving", is_draining(p), "wanted", p->wanted, "own",
-	    (int)p->own, "running", (int)p->load_running, "queued",
+	    p->listed, "leaving", is_draining(p), "wanted", p->in_subset, "own",
+	    (int)p->own_calls, "running", (int)p->load_running, "queued",
 	    (int)p->load_queued, "ewma_us", (json_int_t)p->ewma_us);
 
 	json_array_append_new(arg, o);
@@ -641,7 +642,7 @@
 	struct member *mb = get(k);
 	json_t *peers = json_array();
 
-	mh_member_each(k, add_state, peers);
+	mh_member_foreach(k, add_state, peers);
 	return json_pack("{s:b, s:i, s:o}", "draining", mb->draining, "links",
 	    (int)mb->links, "peers", peers);
 }
@@ -679,8 +680,8 @@
 	    g_str_hash, g_str_equal, g_free, (GDestroyNotify)g_ptr_array_unref);
 	mb->listeners = g_array_new(FALSE, FALSE, sizeof(struct listener));
 	mh_kern_add(k, "member", mb, NULL, destroy);
-	mh_hub_on(k, MH__FRAME__BODY_DRAIN, on_drain, mb);
-	mh_hub_on(k, MH__FRAME__BODY_PING, on_ping, mb);
+	mh_hub_set_handler(k, MH__FRAME__BODY_DRAIN, on_drain, mb);
+	mh_hub_set_handler(k, MH__FRAME__BODY_PING, on_ping, mb);
 	mh_member_on_link(k, on_link, mb);
 	mb->tick = mh_timer_start(k, 0, on_tick, mb);
 }
--- a/lib/pick.c
+++ b/lib/pick.c
@@ -35,7 +35,7 @@
 		if (p != NULL && mh_member_usable(r->e->k, p) &&
 		    p->incarnation == part->incarnation &&
 		    part->bound_ms < mh_uuid7_ms(text) &&
-		    (best == NULL || p->own < best->own)) {
+		    (best == NULL || p->own_calls < best->own_calls)) {
 			best = p;
 			g_free(r->key);
 			r->key = key;
--- a/lib/poisonmember.c
+++ b/lib/poisonmember.c
@@ -28,7 +28,7 @@
 {
 	struct announcement t = { arg, f };
 
-	mh_member_each(arg, send_one, &t);
+	mh_member_foreach(arg, send_one, &t);
 }
 
 static uint32_t
@@ -86,6 +86,6 @@
 		.arg = k };
 
 	mh_poison_create(k, &ops);
-	mh_hub_on(k, MH__FRAME__BODY_POISON, on_poison, k);
+	mh_hub_set_handler(k, MH__FRAME__BODY_POISON, on_poison, k);
 	mh_member_on_link(k, on_link, k);
 }
--- a/lib/relay.c
+++ b/lib/relay.c
@@ -221,8 +221,8 @@
 
 	send_short(r, c, MH__FRAME__BODY_CANCEL);
 	g_hash_table_steal(r->slots, &c->id);
-	if (c->peer->own > 0)
-		c->peer->own--;
+	if (c->peer->own_calls > 0)
+		c->peer->own_calls--;
 	mh_count(k, "relay_cancels", 1);
 	free_call(c);
 }
@@ -332,8 +332,8 @@
 static void
 call_on_link(struct relay *r, struct mh_call *c, enum mh_link_event ev)
 {
-	bool other = ev == MH_LINK_OTHER ||
-	    (ev == MH_LINK_SAME && c->incarnation != c->peer->incarnation);
+	bool other = ev == MH_LINK_UP_RESTARTED ||
+	    (ev == MH_LINK_UP && c->incarnation != c->peer->incarnation);
 
 	if (ev == MH_LINK_FAILED) {
 		if (!c->a.never)
@@ -393,7 +393,7 @@
 	r->entry = mh_random(k);
 	r->slots = g_hash_table_new(slot_hash, slot_equal);
 	mh_kern_add(k, "relay", r, NULL, destroy);
-	mh_hub_on(k, MH__FRAME__BODY_CHUNK, on_chunk, r);
-	mh_hub_on(k, MH__FRAME__BODY_RESULT, on_result, r);
+	mh_hub_set_handler(k, MH__FRAME__BODY_CHUNK, on_chunk, r);
+	mh_hub_set_handler(k, MH__FRAME__BODY_RESULT, on_result, r);
 	mh_member_on_link(k, on_link, r);
 }
--- a/lib/roster.c
+++ b/lib/roster.c
@@ -119,7 +119,7 @@
 	record_change(r, vm, was, hash);
 	g_hash_table_replace(r->rows, row->vm->id, row);
 	if (strcmp(vm->id, r->vm) != 0)
-		mh_member_list(r->k, vm);
+		mh_member_vm_listed(r->k, vm);
 }
 
 static void
@@ -131,7 +131,7 @@
 	row->hash = 0;
 	row->unlisted_us = MAX(at_us, 1);
 	if (strcmp(row->vm->id, r->vm) != 0)
-		mh_member_unlist(r->k, row->vm->id);
+		mh_member_vm_unlisted(r->k, row->vm->id);
 }
 
 static gboolean
@@ -180,7 +180,7 @@
  * recent: during an outage of the list, absence proves nothing.
  */
 bool
-mh_member_gone(struct mh_kern *k, const char *vm, int64_t after_us)
+mh_member_is_removed(struct mh_kern *k, const char *vm, int64_t after_us)
 {
 	struct roster *r = get(k);
 	const struct row *row = g_hash_table_lookup(r->rows, vm);
@@ -213,7 +213,7 @@
 }
 
 bool
-mh_member_dropped(struct mh_kern *k)
+mh_member_self_removed(struct mh_kern *k)
 {
 	struct roster *r = get(k);
 	const struct row *row = g_hash_table_lookup(r->rows, r->vm);
@@ -276,7 +276,7 @@
 }
 
 uint32_t
-mh_member_entries(struct mh_kern *k)
+mh_member_entry_count(struct mh_kern *k)
 {
 	struct ranking c = { .key = "", .role = "entry" };
 
@@ -298,7 +298,7 @@
 }
 
 const char *
-mh_member_home(struct mh_kern *k, const char *key)
+mh_member_pick_entry(struct mh_kern *k, const char *key)
 {
 	struct ranking c = { .key = key, .role = "entry" };
 
@@ -307,7 +307,7 @@
 }
 
 const char *
-mh_member_winner(struct mh_kern *k, const char *pool, const char *key)
+mh_member_pick_side(struct mh_kern *k, const char *pool, const char *key)
 {
 	struct ranking c = { .key = key, .role = "side", .pool = pool };
 
@@ -328,7 +328,7 @@
  * A side process watches only while it has no link.
  */
 bool
-mh_member_watcher(struct mh_kern *k, const char *key)
+mh_member_is_watcher(struct mh_kern *k, const char *key)
 {
 	struct roster *r = get(k);
 	struct ranking c = { .key = key, .role = "entry", .domain = r->domain };
@@ -336,7 +336,7 @@
 	if (r->read_us < 0)
 		return true;
 	if (!r->entry)
-		return mh_member_links(k) == 0;
+		return mh_member_link_count(k) == 0;
 	hold(r, &c);
 	return same_id(c.best, r->vm) || same_id(c.second, r->vm) ||
 	    c.count < WATCHERS;
@@ -366,7 +366,7 @@
 	const char *names[WATCHERS];
 
 	if (!r->entry) {
-		mh_member_each(r->k, find_linked_entry, &found);
+		mh_member_foreach(r->k, find_linked_entry, &found);
 		return found;
 	}
 	hold(r, &c);
@@ -398,7 +398,7 @@
 	if (now - r->last_poll_us < READ_INTERVAL_US && r->last_poll_us != 0)
 		return;
 	r->last_poll_us = MAX(now, 1);
-	if (stale || mh_member_watcher(r->k, "vmlist")) {
+	if (stale || mh_member_is_watcher(r->k, "vmlist")) {
 		mh_post(r->k, "vmlist", mh_msg_new(MH_MSG_VMLIST_ASK));
 		mh_count(r->k, "member_list_reads", 1);
 		return;
@@ -592,7 +592,7 @@
 	    r->read_us < 0 ? (json_int_t)-1
 			   : (json_int_t)(mh_now(k) - r->read_us),
 	    "rows", (int)g_hash_table_size(r->rows), "watching",
-	    mh_member_watcher(k, "vmlist"));
+	    mh_member_is_watcher(k, "vmlist"));
 }
 
 static void
@@ -640,7 +640,7 @@
 	    g_hash_table_new_full(g_str_hash, g_str_equal, NULL, free_row);
 	g_queue_init(&r->changes);
 	mh_kern_add(k, "roster", r, handle, destroy);
-	mh_hub_on(k, MH__FRAME__BODY_MEMBERS_ASK, on_members_ask, r);
-	mh_hub_on(k, MH__FRAME__BODY_MEMBERS, on_members, r);
+	mh_hub_set_handler(k, MH__FRAME__BODY_MEMBERS_ASK, on_members_ask, r);
+	mh_hub_set_handler(k, MH__FRAME__BODY_MEMBERS, on_members, r);
 	r->tick = mh_timer_start(k, 0, on_tick, r);
 }
--- a/lib/route.c
+++ b/lib/route.c
@@ -45,12 +45,12 @@
 busy(struct mh_kern *k, const struct mh_peer *p)
 {
 	double reported = (double)p->load_running + (double)p->load_queued;
-	double since = (double)p->own - (double)p->load_own;
+	double since = (double)p->own_calls - (double)p->load_own_calls;
 
 	/* An old report is worse than the exact count of our own calls. */
 	if (p->load_at_us == 0 || mh_now(k) - p->load_at_us > LOAD_FRESH_US)
-		return (double)p->own;
-	return MAX(reported + since, (double)p->own);
+		return (double)p->own_calls;
+	return MAX(reported + since, (double)p->own_calls);
 }
 
 static double
@@ -100,7 +100,8 @@
 	t.rank = mh_roster_rank(r->k, p->vm, &t.entries);
 	interval_us = mh_cold_slot_us(&t);
 	return interval_us > 0 &&
-	    (p->sent_us == 0 || mh_now(r->k) - p->sent_us >= interval_us);
+	    (p->last_call_us == 0 ||
+		mh_now(r->k) - p->last_call_us >= interval_us);
 }
 
 static void
@@ -231,7 +232,7 @@
 	p->load_running = l->running;
 	p->load_queued = l->queued;
 	p->load_slots = l->slots;
-	p->load_own = p->own;
+	p->load_own_calls = p->own_calls;
 	p->load_at_us = mh_now(k);
 	for (size_t i = 0; i < MH_PRIORITIES; i++)
 		p->load_wait_us[i] = i < l->n_wait_us ? l->wait_us[i] : 0;
@@ -240,8 +241,8 @@
 void
 mh_route_sent(struct mh_kern *k, struct mh_peer *p)
 {
-	p->own++;
-	p->sent_us = mh_now(k);
+	p->own_calls++;
+	p->last_call_us = mh_now(k);
 }
 
 static int
@@ -289,7 +290,7 @@
 	p->eject_for_us =
 	    CLAMP(p->eject_for_us * 2, EJECT_MIN_US, EJECT_MAX_US);
 	p->eject_until_us = mh_now(k) + p->eject_for_us;
-	p->fails = 0;
+	p->fail_streak = 0;
 	mh_count(k, "route_ejections", 1);
 	mh_log(k, "route", "Endpoint ejected: vm=%s for_us=%" PRId64 ".", p->vm,
 	    p->eject_for_us);
@@ -307,11 +308,11 @@
 			p->ewma_us = (double)endpoint_us;
 		p->ewma_us += EWMA_GAIN * ((double)endpoint_us - p->ewma_us);
 	}
-	p->fails = good ? 0 : p->fails + 1;
+	p->fail_streak = good ? 0 : p->fail_streak + 1;
 	if (good && endpoint_us <= 0)
 		return;
 	median = median_us(k, p->pool, &usable, &ejected);
-	if (p->fails >= EJECT_FAILS ||
+	if (p->fail_streak >= EJECT_FAILS ||
 	    (endpoint_us > 0 &&
 		p->ewma_us > SLOW_FACTOR * median + SLOW_FLOOR_US)) {
 		eject(k, p, usable, ejected);
@@ -327,10 +328,10 @@
 mh_route_result(
     struct mh_kern *k, struct mh_peer *p, bool good, int64_t endpoint_us)
 {
-	if (p->own > 0)
-		p->own--;
-	if (p->load_own > p->own)
-		p->load_own = p->own;
+	if (p->own_calls > 0)
+		p->own_calls--;
+	if (p->load_own_calls > p->own_calls)
+		p->load_own_calls = p->own_calls;
 	mh_route_observe(k, p, good, endpoint_us);
 }
 
--- a/lib/side.c
+++ b/lib/side.c
@@ -432,11 +432,11 @@
 	mh_poison_member_create(k);
 	mh_kern_add(k, "side", s, handle, destroy);
 	mh_conf_on_change(k, on_config, s);
-	mh_hub_on(k, MH__FRAME__BODY_CALL, on_call, s);
-	mh_hub_on(k, MH__FRAME__BODY_RESUME, on_resume, s);
-	mh_hub_on(k, MH__FRAME__BODY_ACK, on_ack, s);
-	mh_hub_on(k, MH__FRAME__BODY_CANCEL, on_cancel, s);
-	mh_hub_on(k, MH__FRAME__BODY_LOOKUP, on_lookup, s);
-	mh_hub_on(k, MH__FRAME__BODY_ORDER, on_order, s);
+	mh_hub_set_handler(k, MH__FRAME__BODY_CALL, on_call, s);
+	mh_hub_set_handler(k, MH__FRAME__BODY_RESUME, on_resume, s);
+	mh_hub_set_handler(k, MH__FRAME__BODY_ACK, on_ack, s);
+	mh_hub_set_handler(k, MH__FRAME__BODY_CANCEL, on_cancel, s);
+	mh_hub_set_handler(k, MH__FRAME__BODY_LOOKUP, on_lookup, s);
+	mh_hub_set_handler(k, MH__FRAME__BODY_ORDER, on_order, s);
 	s->tick = mh_timer_start(k, TICK_US, on_tick, s);
 }
--- a/regress/net.c
+++ b/regress/net.c
@@ -99,13 +99,14 @@
 	n->nodes = g_ptr_array_new_with_free_func(g_free);
 	n->links = g_ptr_array_new_with_free_func(g_free);
 	n->kv_waits = g_ptr_array_new_with_free_func(net_free_wait);
-	n->answers = g_hash_table_new_full(
-	    g_int64_hash, g_int64_equal, NULL, net_free_answer);
-	n->audit = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
+	n->responses = g_hash_table_new_full(
+	    g_int64_hash, g_int64_equal, NULL, net_free_response);
+	n->runs_by_key =
+	    g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
 	n->kv = g_hash_table_new_full(
 	    g_str_hash, g_str_equal, g_free, net_free_value);
 	n->latency_us = 300;
-	n->kv_us = KV_LATENCY_US;
+	n->kv_latency_us = KV_LATENCY_US;
 	n->next_incarnation = 100;
 	n->in_flight = g_hash_table_new_full(NULL, NULL, free_delivery, NULL);
 	n->log = g_string_new(NULL);
@@ -119,16 +120,16 @@
 		struct net_node *x = n->nodes->pdata[i];
 
 		mh_kern_destroy(x->k);
-		if (x->at_it != NULL)
-			g_array_free(x->at_it, TRUE);
+		if (x->active_runs != NULL)
+			g_array_free(x->active_runs, TRUE);
 	}
 	mh_kern_destroy(n->k);
 	g_hash_table_destroy(n->in_flight);
 	g_ptr_array_unref(n->nodes);
 	g_ptr_array_unref(n->links);
 	g_ptr_array_unref(n->kv_waits);
-	g_hash_table_destroy(n->answers);
-	g_hash_table_destroy(n->audit);
+	g_hash_table_destroy(n->responses);
+	g_hash_table_destroy(n->runs_by_key);
 	g_hash_table_destroy(n->kv);
 	g_string_free(n->log, TRUE);
 	g_free(n);
@@ -307,13 +308,13 @@
 	to = is_a ? &nl->b : &nl->a;
 	n->frames++;
 	n->bytes += g_bytes_get_size(l->frame) + 4;
-	if (n->duplicate > 0 && mh_random_unit(n->k) < n->duplicate)
+	if (n->duplicate_share > 0 && mh_random_unit(n->k) < n->duplicate_share)
 		times = 2;
 	for (int i = 0; i < times; i++) {
 		struct mh_msg *m = mh_msg_new(MH_MSG_FRAME);
 		int64_t after = n->latency_us;
 
-		if (n->delay > 0 && mh_random_unit(n->k) < n->delay)
+		if (n->delay_share > 0 && mh_random_unit(n->k) < n->delay_share)
 			after *= DELAY_FACTOR;
 		m->u.link.conn = to->conn;
 		m->u.link.frame = g_bytes_ref(l->frame);
@@ -452,7 +453,7 @@
 }
 
 void
-net_vanish(struct net_node *x)
+net_crash_vm(struct net_node *x)
 {
 	drop_links(x, false);
 	mh_kern_destroy(x->k);
@@ -460,7 +461,7 @@
 }
 
 void
-net_silence(struct net_node *x, bool in, bool out)
+net_drop_frames(struct net_node *x, bool in, bool out)
 {
 	for (guint i = 0; i < x->net->links->len; i++) {
 		struct net_link *nl = x->net->links->pdata[i];
@@ -475,7 +476,7 @@
 }
 
 void
-net_cut(struct net_node *x)
+net_break_links(struct net_node *x)
 {
 	for (guint i = 0; i < x->net->links->len; i++) {
 		struct net_link *nl = x->net->links->pdata[i];
--- a/regress/net.h
+++ b/regress/net.h
@@ -10,9 +10,9 @@
  */
 
 /* A body with this text crashes an endpoint that has "crashes" set. */
-#define NET_FATAL "fatal"
-#define NET_FALL_US (60 * MH_US_PER_MS) /* from the start of the run */
-#define NET_BACK_US (1500 * MH_US_PER_MS) /* from the crash */
+#define NET_POISON_TEXT "fatal"
+#define NET_CRASH_DELAY_US (60 * MH_US_PER_MS) /* from the start of the run */
+#define NET_RESTART_US (1500 * MH_US_PER_MS) /* from the crash */
 #define NET_START_WALL_US (1800000000LL * MH_US_PER_S)
 
 struct net;
@@ -29,34 +29,34 @@
 	uint64_t incarnation;
 	uint32_t slots;
 	bool listed;
-	bool leaving;
+	bool draining;
 	bool paused;
 	int64_t skew_us; /* of this VM's wall clock */
 	/* the endpoint of a side process */
 	int64_t service_us;
 	uint32_t status; /* of its responses, 0: 200 */
-	bool unsent;
-	size_t answer_bytes; /* a service's response is padded to this */
-	bool cut; /* it runs calls, but truncates its responses */
-	bool numbered; /* its tokens read RUN.NUMBER */
-	uint32_t surplus; /* tokens generated beyond max_tokens */
-	bool falls; /* it crashes under a body with NET_POISON_TEXT */
-	int64_t fall_us; /* time of the last crash, may be ahead; 0: none */
-	uint32_t falls_seen;
-	GArray *at_it; /* uint64_t, runs started since the last crash */
+	bool refuses_conn;
+	size_t response_bytes; /* a service's response is padded to this */
+	bool truncates; /* it runs calls, but truncates its responses */
+	bool numbers_tokens; /* its tokens read RUN.NUMBER */
+	uint32_t surplus_tokens; /* tokens generated beyond max_tokens */
+	bool crashes; /* it crashes under a body with NET_POISON_TEXT */
+	int64_t crash_us; /* time of the last crash, may be ahead; 0: none */
+	uint32_t crash_count;
+	GArray *active_runs; /* uint64_t, runs started since the last crash */
 	uint64_t runs;
 	uint64_t aborts;
 };
 
 /** struct net_response - what a caller received. */
-struct net_answer {
+struct net_response {
 	uint64_t caller;
 	uint32_t status;
 	uint32_t retry_after_s;
 	uint32_t parts;
 	bool ended;
 	int64_t at_us;
-	char *once; /* of the request, ORG/KEY; NULL: none */
+	char *idempotency_key; /* of the request, ORG/KEY; NULL: none */
 	uint32_t runs; /* of that key when the response ended */
 	GString *body;
 };
@@ -66,14 +66,14 @@
 	GPtrArray *nodes;
 	GPtrArray *links; /* struct net_link, closed ones too */
 	GHashTable *in_flight; /* set of struct delivery */
-	GHashTable *answers; /* caller -> struct net_response */
-	GHashTable *audit; /* ORG/KEY -> runs */
+	GHashTable *responses; /* caller -> struct net_response */
+	GHashTable *runs_by_key; /* ORG/KEY -> runs */
 	GHashTable *kv; /* name -> value */
 	uint64_t kv_index;
 	GPtrArray *kv_waits;
 	bool kv_down;
-	bool kv_lose_answer; /* the next write is done but not acknowledged */
-	bool kv_tear; /* half of the next document read is lost */
+	bool kv_lose_reply; /* the next write is done but not acknowledged */
+	bool kv_truncate_doc; /* half of the next document read is lost */
 	bool kv_no_wait; /* watches return at once */
 	bool vmlist_down;
 	uint64_t kv_calls;
@@ -81,9 +81,9 @@
 	uint64_t next_caller;
 	uint64_t runs; /* of all endpoints */
 	int64_t latency_us;
-	int64_t kv_us;
-	double duplicate; /* share of frames delivered twice */
-	double delay; /* share of frames delivered late */
+	int64_t kv_latency_us;
+	double duplicate_share; /* share of frames delivered twice */
+	double delay_share; /* share of frames delivered late */
 	uint64_t frames;
 	uint64_t bytes;
 	GString *log;
@@ -99,11 +99,11 @@
 /** net_kill() - the process exits; its peers see their links close. */
 void net_kill(struct net_node *x);
 /** net_crash_vm() - the VM is lost: its links stay open without traffic. */
-void net_vanish(struct net_node *x);
+void net_crash_vm(struct net_node *x);
 /** net_drop_frames() - open links drop all frames to (@in), from (@out) @x. */
-void net_silence(struct net_node *x, bool in, bool out);
+void net_drop_frames(struct net_node *x, bool in, bool out);
 /** net_break_links() - open links of @x close, and both ends see it. */
-void net_cut(struct net_node *x);
+void net_break_links(struct net_node *x);
 void net_apply(struct net *n, uint64_t generation, const char *doc);
 /** net_apply_delta() - as marlctl does, with the delta from @old, if any. */
 void net_apply_delta(
@@ -114,23 +114,23 @@
 void net_tick(struct net_node *x);
 
 /** struct net_request_args - one caller's request; NULL: a default. */
-struct net_ask {
+struct net_request_args {
 	const char *method;
 	const char *path;
-	const char *key;
-	const char *once;
+	const char *api_key;
+	const char *idempotency_key;
 	const char *body;
-	const char *class_asked;
+	const char *class_name;
 	int64_t deadline_us;
 };
 
-uint64_t net_request(struct net_node *entry, const struct net_ask *a);
-void net_caller_leaves(struct net_node *entry, uint64_t caller);
-struct net_answer *net_answer(struct net *n, uint64_t caller);
+uint64_t net_request(struct net_node *entry, const struct net_request_args *a);
+void net_disconnect_caller(struct net_node *entry, uint64_t caller);
+struct net_response *net_response(struct net *n, uint64_t caller);
 /** net_response_text() - a JSON field of the response, "" when absent. */
-const char *net_answer_text(struct net *n, uint64_t caller, const char *f);
+const char *net_response_text(struct net *n, uint64_t caller, const char *f);
 uint32_t net_runs(struct net *n, const char *key);
-uint32_t net_most_runs(struct net *n);
+uint32_t net_max_runs(struct net *n);
 
 /** net_doc_with() - net_doc with another policy line; the caller frees it. */
 extern const char net_doc[];
--- a/regress/netfake.c
+++ b/regress/netfake.c
@@ -30,11 +30,11 @@
 }
 
 void
-net_free_answer(void *arg)
+net_free_response(void *arg)
 {
-	struct net_answer *a = arg;
+	struct net_response *a = arg;
 
-	g_free(a->once);
+	g_free(a->idempotency_key);
 
 	g_string_free(a->body, TRUE);
 	g_free(a);
@@ -68,8 +68,9 @@
 		m->u.kv.cas = v->index;
 		m->u.kv.index = v->index;
 		m->u.kv.value = g_bytes_ref(v->data);
-		if (n->kv_tear && g_str_has_prefix(q->name, MH_CONF_DOC)) {
-			n->kv_tear = false;
+		if (n->kv_truncate_doc &&
+		    g_str_has_prefix(q->name, MH_CONF_DOC)) {
+			n->kv_truncate_doc = false;
 			g_bytes_unref(m->u.kv.value);
 			m->u.kv.value = g_bytes_new_from_bytes(
 			    v->data, 0, g_bytes_get_size(v->data) / 2);
@@ -98,7 +99,8 @@
 
 	m->u.kv.op = q->op;
 	m->u.kv.token = q->token;
-	net_deliver(x, service_name(q->from), m, x->net->kv_us, NULL, false);
+	net_deliver(
+	    x, service_name(q->from), m, x->net->kv_latency_us, NULL, false);
 }
 
 void
@@ -118,7 +120,8 @@
 				kv_fail(w->node, &w->q);
 			else
 				net_deliver(w->node, service_name(w->q.from),
-				    kv_reply(n, &w->q), n->kv_us, NULL, false);
+				    kv_reply(n, &w->q), n->kv_latency_us, NULL,
+				    false);
 		}
 		g_ptr_array_remove_index(n->kv_waits, i);
 	}
@@ -145,8 +148,8 @@
 
 	if (ok)
 		kv_store(n, q->name, q->value);
-	if (n->kv_lose_answer) {
-		n->kv_lose_answer = false;
+	if (n->kv_lose_reply) {
+		n->kv_lose_reply = false;
 		kv_fail(x, q);
 		return;
 	}
@@ -155,7 +158,8 @@
 	m->u.kv.token = q->token;
 	m->u.kv.ok = true;
 	m->u.kv.found = ok;
-	net_deliver(x, service_name(q->from), m, x->net->kv_us, NULL, false);
+	net_deliver(
+	    x, service_name(q->from), m, x->net->kv_latency_us, NULL, false);
 }
 
 void
@@ -238,7 +242,7 @@
 		if (y->listed)
 			g_ptr_array_add(m->u.vmlist.vms,
 			    mh_vm_new(y->vm, y->addr, y->role, y->pool,
-				y->domain, y->leaving));
+				y->domain, y->draining));
 	}
 	net_deliver(x, "roster", m, LIST_LATENCY_US, NULL, false);
 }
@@ -261,8 +265,8 @@
 {
 	const char *text = "{\"confirmed\":true}";
 
-	if (q->kind == MH_SERVICE && x->answer_bytes > 0)
-		return padded_body(x->answer_bytes);
+	if (q->kind == MH_SERVICE && x->response_bytes > 0)
+		return padded_body(x->response_bytes);
 	if (q->kind == MH_ENCODE)
 		text = "{\"data\":[{\"embedding\":[1,2]}]}";
 	else if (q->kind == MH_RETRIEVE)
@@ -293,7 +297,7 @@
 {
 	char text[24] = " t";
 
-	if (x->numbered)
+	if (x->numbers_tokens)
 		snprintf(
 		    text, sizeof(text), " %" PRIu64 ".%u", x->net->runs, i + 1);
 	return g_bytes_new(text, strlen(text));
@@ -319,17 +323,17 @@
 static void
 crash(struct net_node *x)
 {
-	x->fall_us = net_now(x->net) + NET_FALL_US;
-	x->falls_seen++;
-	for (guint i = 0; i < x->at_it->len; i++) {
+	x->crash_us = net_now(x->net) + NET_CRASH_DELAY_US;
+	x->crash_count++;
+	for (guint i = 0; i < x->active_runs->len; i++) {
 		struct mh_msg *m = mh_msg_new(MH_MSG_RAN);
 
-		m->u.run.run = g_array_index(x->at_it, uint64_t, i);
+		m->u.run.run = g_array_index(x->active_runs, uint64_t, i);
 		m->u.run.sent = m->u.run.broke = true;
 		m->u.run.body = g_bytes_new("", 0);
-		net_deliver(x, "side", m, NET_FALL_US, NULL, false);
+		net_deliver(x, "side", m, NET_CRASH_DELAY_US, NULL, false);
 	}
-	g_array_set_size(x->at_it, 0);
+	g_array_set_size(x->active_runs, 0);
 }
 
 /*
@@ -343,15 +347,16 @@
 	gsize len;
 	const char *data = g_bytes_get_data(q->body, &len);
 
-	if (!x->falls)
+	if (!x->crashes)
 		return false;
-	if (x->at_it == NULL)
-		x->at_it = g_array_new(FALSE, FALSE, sizeof(uint64_t));
-	x->unsent = x->fall_us != 0 && now < x->fall_us + NET_BACK_US;
-	if (x->unsent)
+	if (x->active_runs == NULL)
+		x->active_runs = g_array_new(FALSE, FALSE, sizeof(uint64_t));
+	x->refuses_conn =
+	    x->crash_us != 0 && now < x->crash_us + NET_RESTART_US;
+	if (x->refuses_conn)
 		return false;
-	g_array_append_val(x->at_it, q->run);
-	if (g_strstr_len(data, (gssize)len, NET_FATAL) == NULL)
+	g_array_append_val(x->active_runs, q->run);
+	if (g_strstr_len(data, (gssize)len, NET_POISON_TEXT) == NULL)
 		return false;
 	crash(x);
 	return true;
@@ -373,22 +378,24 @@
 		return;
 	m = mh_msg_new(MH_MSG_RAN);
 	m->u.run.run = q->run;
-	m->u.run.sent = !x->unsent;
-	if (!x->unsent) {
+	m->u.run.sent = !x->refuses_conn;
+	if (!x->refuses_conn) {
 		x->runs++;
 		x->net->runs++;
 		if (q->key != NULL && *q->key != '\0') {
-			runs = g_hash_table_lookup(x->net->audit, q->key);
-			g_hash_table_replace(x->net->audit, g_strdup(q->key),
+			runs = g_hash_table_lookup(x->net->runs_by_key, q->key);
+			g_hash_table_replace(x->net->runs_by_key,
+			    g_strdup(q->key),
 			    GUINT_TO_POINTER(GPOINTER_TO_UINT(runs) + 1));
 		}
 		m->u.run.status = x->status == 0 ? 200 : x->status;
-		m->u.run.whole = !x->cut;
+		m->u.run.whole = !x->truncates;
 		m->u.run.body = run_body(x, q);
 		if (q->kind == MH_GENERATE && x->status == 0)
-			run_stream(x, q, max_tokens(q) + x->surplus);
+			run_stream(x, q, max_tokens(q) + x->surplus_tokens);
 	}
-	net_deliver(x, "side", m, x->unsent ? 100 : x->service_us, NULL, false);
+	net_deliver(
+	    x, "side", m, x->refuses_conn ? 100 : x->service_us, NULL, false);
 }
 
 /* ---- http ---- */
@@ -398,7 +405,7 @@
 {
 	struct net_node *x = self;
 	const struct mh_reply_msg *r = &m->u.reply;
-	struct net_answer *a = g_hash_table_lookup(x->net->answers, &r->id);
+	struct net_response *a = g_hash_table_lookup(x->net->responses, &r->id);
 	gsize len;
 	const char *data;
 
@@ -411,29 +418,31 @@
 	a->parts++;
 	a->ended = r->last;
 	a->at_us = mh_now(x->k);
-	if (a->once != NULL)
-		a->runs = net_runs(x->net, a->once);
+	if (a->idempotency_key != NULL)
+		a->runs = net_runs(x->net, a->idempotency_key);
 }
 
 uint64_t
-net_request(struct net_node *entry, const struct net_ask *a)
+net_request(struct net_node *entry, const struct net_request_args *a)
 {
 	struct net *n = entry->net;
 	struct mh_msg *m = mh_msg_new(MH_MSG_REQUEST);
-	struct net_answer *resp = g_new0(struct net_answer, 1);
+	struct net_response *resp = g_new0(struct net_response, 1);
 	const char *body = a->body == NULL ? "{\"input\":\"x\"}" : a->body;
 
 	resp->caller = ++n->next_caller;
 	resp->body = g_string_new(NULL);
-	if (a->once != NULL)
-		resp->once = g_strconcat("acme/", a->once, NULL);
-	g_hash_table_insert(n->answers, &resp->caller, resp);
+	if (a->idempotency_key != NULL)
+		resp->idempotency_key =
+		    g_strconcat("acme/", a->idempotency_key, NULL);
+	g_hash_table_insert(n->responses, &resp->caller, resp);
 	m->u.request.id = resp->caller;
 	m->u.request.method = g_strdup(a->method == NULL ? "POST" : a->method);
 	m->u.request.path = g_strdup(a->path);
-	m->u.request.key = g_strdup(a->key == NULL ? "party-key" : a->key);
-	m->u.request.idempotency_key = g_strdup(a->once);
-	m->u.request.class_asked = g_strdup(a->class_asked);
+	m->u.request.key =
+	    g_strdup(a->api_key == NULL ? "party-key" : a->api_key);
+	m->u.request.idempotency_key = g_strdup(a->idempotency_key);
+	m->u.request.class_asked = g_strdup(a->class_name);
 	m->u.request.deadline_us = a->deadline_us;
 	m->u.request.body = g_bytes_new(body, strlen(body));
 	mh_post(entry->k, "entry", m);
@@ -441,7 +450,7 @@
 }
 
 void
-net_caller_leaves(struct net_node *entry, uint64_t caller)
+net_disconnect_caller(struct net_node *entry, uint64_t caller)
 {
 	struct mh_msg *m = mh_msg_new(MH_MSG_GONE);
 
@@ -449,17 +458,17 @@
 	mh_post(entry->k, "entry", m);
 }
 
-struct net_answer *
-net_answer(struct net *n, uint64_t caller)
+struct net_response *
+net_response(struct net *n, uint64_t caller)
 {
-	return g_hash_table_lookup(n->answers, &caller);
+	return g_hash_table_lookup(n->responses, &caller);
 }
 
 const char *
-net_answer_text(struct net *n, uint64_t caller, const char *f)
+net_response_text(struct net *n, uint64_t caller, const char *f)
 {
 	static char buf[512];
-	struct net_answer *a = net_answer(n, caller);
+	struct net_response *a = net_response(n, caller);
 	json_t *j = json_loads(a->body->str, 0, NULL);
 	const char *t = json_string_value(json_object_get(j, f));
 
@@ -471,17 +480,17 @@
 uint32_t
 net_runs(struct net *n, const char *key)
 {
-	return GPOINTER_TO_UINT(g_hash_table_lookup(n->audit, key));
+	return GPOINTER_TO_UINT(g_hash_table_lookup(n->runs_by_key, key));
 }
 
 uint32_t
-net_most_runs(struct net *n)
+net_max_runs(struct net *n)
 {
 	GHashTableIter it;
 	gpointer v;
 	uint32_t max = 0;
 
-	g_hash_table_iter_init(&it, n->audit);
+	g_hash_table_iter_init(&it, n->runs_by_key);
 	while (g_hash_table_iter_next(&it, NULL, &v))
 		max = MAX(max, GPOINTER_TO_UINT(v));
 	return max;
--- a/regress/netfake.h
+++ b/regress/netfake.h
@@ -23,7 +23,7 @@
 
 /* netfake.c */
 void net_free_value(void *arg);
-void net_free_answer(void *arg);
+void net_free_response(void *arg);
 void net_free_wait(void *arg);
 void net_kv_wake(struct net *n, const char *name);
 void net_kv_handle(void *self, struct mh_msg *m);
--- a/regress/t_crash.c
+++ b/regress/t_crash.c
@@ -380,7 +380,7 @@
 	for (int i = 0; i < OWN_SIDES; i++) {
 		g_snprintf(vm, sizeof(vm), "%s%d", pool, i);
 		o->s[i] = net_side(o->n, vm, pool, i % 2 == 0 ? "a" : "b", 8);
-		o->s[i]->falls = true;
+		o->s[i]->crashes = true;
 		o->s[i]->service_us = 200 * MS;
 	}
 	for (int i = 0; i < OWN_ENTRIES; i++) {
@@ -401,7 +401,7 @@
 own_send(struct own *o, const char *path, const char *what)
 {
 	char *body = g_strdup_printf("{\"input\":\"%s\"}", what);
-	struct net_ask a = { .path = path, .body = body };
+	struct net_request_args a = { .path = path, .body = body };
 	struct net_node *e = o->e[g_rand_int_range(o->rand, 0, OWN_ENTRIES)];
 	uint64_t id = net_request(e, &a);
 
@@ -416,7 +416,7 @@
 	char what[24];
 
 	for (uint32_t i = 0; i < o->n_others; i++) {
-		const struct net_answer *a = net_answer(o->n, o->others[i]);
+		const struct net_response *a = net_response(o->n, o->others[i]);
 
 		if (!a->ended || a->status == 200)
 			continue;
@@ -438,7 +438,8 @@
 		g_snprintf(what, sizeof(what), "other %u", o->n_others);
 		o->others[o->n_others++] = own_send(o, path, what);
 		if (t % (700 * MS) == 0)
-			o->poison[o->n_poison++] = own_send(o, path, NET_FATAL);
+			o->poison[o->n_poison++] =
+			    own_send(o, path, NET_POISON_TEXT);
 		net_run(o->n, 50 * MS);
 	}
 	net_run(o->n, 3 * S);
@@ -450,7 +451,7 @@
 	uint32_t n = 0;
 
 	for (int i = 0; i < OWN_SIDES; i++)
-		n += o->s[i]->falls_seen;
+		n += o->s[i]->crash_count;
 	return n;
 }
 
@@ -483,22 +484,22 @@
 		crashes = own_crashes(&o);
 		CU_ASSERT(crashes >= 3 && crashes <= 3 + LATE_SENDS_MAX);
 		for (uint32_t i = 0; i < o.n_others; i++)
-			served += net_answer(o.n, o.others[i])->status == 200;
+			served += net_response(o.n, o.others[i])->status == 200;
 		CU_ASSERT_EQUAL(served, o.n_others);
 		CU_ASSERT_EQUAL(
-		    net_answer(o.n, o.poison[o.n_poison - 1])->status, 503);
+		    net_response(o.n, o.poison[o.n_poison - 1])->status, 503);
 		CU_ASSERT_STRING_EQUAL(
-		    net_answer_text(o.n, o.poison[o.n_poison - 1], "title"),
+		    net_response_text(o.n, o.poison[o.n_poison - 1], "title"),
 		    "request-held");
 		CU_ASSERT_STRING_EQUAL(
-		    net_answer_text(o.n, o.poison[o.n_poison - 1], "outcome"),
+		    net_response_text(o.n, o.poison[o.n_poison - 1], "outcome"),
 		    "not-run");
 		/* Announcements must not circulate endlessly. */
 		frames = frames_of(&o);
 		net_run(o.n, 2 * S);
 		CU_ASSERT(frames_of(&o) - frames < QUIET_FRAMES * 2);
 		CU_ASSERT(
-		    net_answer(o.n, o.poison[o.n_poison - 1])->retry_after_s >
+		    net_response(o.n, o.poison[o.n_poison - 1])->retry_after_s >
 		    60);
 		if (served != o.n_others || crashes > 3 + LATE_SENDS_MAX)
 			fprintf(stderr,
@@ -519,9 +520,9 @@
 	own_run(&o, "/v1/pipelines/confirm", 10 * S);
 	crashes = own_crashes(&o);
 	CU_ASSERT(crashes >= 3 && crashes <= 3 + LATE_SENDS_MAX);
-	CU_ASSERT(net_most_runs(o.n) <= 1);
+	CU_ASSERT(net_max_runs(o.n) <= 1);
 	CU_ASSERT_STRING_EQUAL(
-	    net_answer_text(o.n, o.poison[o.n_poison - 1], "title"),
+	    net_response_text(o.n, o.poison[o.n_poison - 1], "title"),
 	    "request-held");
 	own_destroy(&o);
 }
@@ -543,10 +544,10 @@
 	}
 	net_run(o.n, 3 * S);
 	for (int i = 0; i < 20; i++) {
-		id = own_send(&o, "/v1/pipelines/embed", NET_FATAL);
+		id = own_send(&o, "/v1/pipelines/embed", NET_POISON_TEXT);
 		net_run(o.n, 200 * MS);
 		CU_ASSERT_STRING_EQUAL(
-		    net_answer_text(o.n, id, "title"), "request-held");
+		    net_response_text(o.n, id, "title"), "request-held");
 	}
 	CU_ASSERT_EQUAL(own_crashes(&o), crashes);
 	own_destroy(&o);
--- a/regress/t_drain.c
+++ b/regress/t_drain.c
@@ -78,7 +78,8 @@
 static uint64_t
 confirm(struct drain_world *w, int entry, const char *key)
 {
-	struct net_ask a = { .path = "/v1/pipelines/confirm", .once = key };
+	struct net_request_args a = { .path = "/v1/pipelines/confirm",
+		.idempotency_key = key };
 	uint64_t id = net_request(w->e[entry], &a);
 
 	net_run(w->n, 100 * MH_US_PER_MS);
@@ -107,13 +108,13 @@
 	end = net_now(w.n);
 	net_run(w.n, SLOW_US);
 	CU_ASSERT_STRING_EQUAL(
-	    net_answer_text(w.n, runs, "outcome"), "unknown");
+	    net_response_text(w.n, runs, "outcome"), "unknown");
 	CU_ASSERT_STRING_EQUAL(
-	    net_answer_text(w.n, same, "outcome"), "unknown");
+	    net_response_text(w.n, same, "outcome"), "unknown");
 	CU_ASSERT_STRING_EQUAL(
-	    net_answer_text(w.n, queued, "outcome"), "not-run");
-	CU_ASSERT(net_answer(w.n, runs)->at_us < end);
-	CU_ASSERT(net_answer(w.n, same)->at_us < end);
+	    net_response_text(w.n, queued, "outcome"), "not-run");
+	CU_ASSERT(net_response(w.n, runs)->at_us < end);
+	CU_ASSERT(net_response(w.n, same)->at_us < end);
 	CU_ASSERT_EQUAL(net_runs(w.n, "acme/k1"), 1);
 	CU_ASSERT_EQUAL(net_runs(w.n, "acme/k2"), 0);
 	net_destroy(w.n);
@@ -126,7 +127,7 @@
 static void
 test_side_ends_with_work(void)
 {
-	struct net_ask a = { .path = "/v1/pipelines/embed" };
+	struct net_request_args a = { .path = "/v1/pipelines/embed" };
 	struct drain_world w;
 	uint64_t runs, queued;
 	int64_t end;
@@ -139,11 +140,12 @@
 	drain_and_kill(w.side);
 	end = net_now(w.n);
 	net_run(w.n, SLOW_US);
-	CU_ASSERT_STRING_EQUAL(net_answer_text(w.n, runs, "outcome"), "failed");
 	CU_ASSERT_STRING_EQUAL(
-	    net_answer_text(w.n, queued, "outcome"), "not-run");
-	CU_ASSERT(net_answer(w.n, runs)->at_us < end);
-	CU_ASSERT(net_answer(w.n, queued)->at_us < end);
+	    net_response_text(w.n, runs, "outcome"), "failed");
+	CU_ASSERT_STRING_EQUAL(
+	    net_response_text(w.n, queued, "outcome"), "not-run");
+	CU_ASSERT(net_response(w.n, runs)->at_us < end);
+	CU_ASSERT(net_response(w.n, queued)->at_us < end);
 	CU_ASSERT_EQUAL(w.side->runs, 1);
 	net_destroy(w.n);
 }
@@ -156,20 +158,20 @@
 static void
 test_entry_waits_for_a_lookup(void)
 {
-	struct net_ask a = { .method = "GET",
+	struct net_request_args a = { .method = "GET",
 		.path = "/v1/outcomes/confirm/k1" };
 	struct drain_world w;
 	uint64_t id;
 
 	make(&w, 3, "book");
-	net_silence(w.side, false, true);
+	net_drop_frames(w.side, false, true);
 	id = net_request(w.e[0], &a);
 	net_run(w.n, 10 * MH_US_PER_MS);
 	mh_entry_drain(w.e[0]->k, GRACE_US);
-	CU_ASSERT_FALSE(net_answer(w.n, id)->ended);
+	CU_ASSERT_FALSE(net_response(w.n, id)->ended);
 	CU_ASSERT_EQUAL(mh_entry_open(w.e[0]->k), 1);
 	net_run(w.n, 2 * MH_US_PER_S);
-	CU_ASSERT_TRUE(net_answer(w.n, id)->ended);
+	CU_ASSERT_TRUE(net_response(w.n, id)->ended);
 	CU_ASSERT_EQUAL(mh_entry_open(w.e[0]->k), 0);
 	net_destroy(w.n);
 }
@@ -222,7 +224,8 @@
 static void
 test_side_waits_for_a_handover(void)
 {
-	struct net_ask a = { .path = "/v1/pipelines/confirm", .once = "k1" };
+	struct net_request_args a = { .path = "/v1/pipelines/confirm",
+		.idempotency_key = "k1" };
 	uint32_t p = mh_partition_of("acme/k1");
 	struct net *n = net_create(5);
 	struct net_node *first, *next[2], *to, *e;
@@ -235,8 +238,8 @@
 	net_run(n, 4 * MH_US_PER_S);
 	id = net_request(e, &a);
 	net_run(n, MH_US_PER_S);
-	CU_ASSERT_EQUAL(net_answer(n, id)->status, 200);
-	n->kv_us = 1500 * MH_US_PER_MS;
+	CU_ASSERT_EQUAL(net_response(n, id)->status, 200);
+	n->kv_latency_us = 1500 * MH_US_PER_MS;
 	next[0] = net_side(n, "book1", "book", "a", 4);
 	next[1] = net_side(n, "book2", "book", "a", 4);
 	for (int i = 0; i < 100 && mh_member_find(first->k, "book2") == NULL;
@@ -245,8 +248,9 @@
 	mh_side_drain(first->k, GRACE_US);
 	net_run(n, 300 * MH_US_PER_MS);
 	snprintf(what, sizeof(what), "book/%u", p);
-	CU_ASSERT_PTR_NOT_NULL_FATAL(mh_member_winner(first->k, "book", what));
-	to = strcmp(mh_member_winner(first->k, "book", what), "book1") == 0
+	CU_ASSERT_PTR_NOT_NULL_FATAL(
+	    mh_member_pick_side(first->k, "book", what));
+	to = strcmp(mh_member_pick_side(first->k, "book", what), "book1") == 0
 	    ? next[0]
 	    : next[1];
 	CU_ASSERT_FALSE(mh_claim_open(to->k, p));
@@ -255,7 +259,7 @@
 	net_run(n, 10 * MH_US_PER_S);
 	id = net_request(e, &a);
 	net_run(n, 3 * MH_US_PER_S);
-	CU_ASSERT_STRING_EQUAL(net_answer_text(n, id, "outcome"), "done");
+	CU_ASSERT_STRING_EQUAL(net_response_text(n, id, "outcome"), "done");
 	CU_ASSERT_EQUAL(net_runs(n, "acme/k1"), 1);
 	net_destroy(n);
 }
--- a/regress/t_entry.c
+++ b/regress/t_entry.c
@@ -41,7 +41,7 @@
 static uint64_t
 plan(struct entry_world *w, bool stream)
 {
-	struct net_ask a = { .path = "/v1/pipelines/plan",
+	struct net_request_args a = { .path = "/v1/pipelines/plan",
 		.body = stream
 		    ? "{\"input\":\"x\",\"max_tokens\":8,\"stream\":true}"
 		    : "{\"input\":\"x\",\"max_tokens\":8}" };
@@ -52,7 +52,7 @@
 static uint64_t
 embed(struct entry_world *w)
 {
-	struct net_ask a = { .path = "/v1/pipelines/embed" };
+	struct net_request_args a = { .path = "/v1/pipelines/embed" };
 
 	return net_request(w->e, &a);
 }
@@ -60,10 +60,10 @@
 static void
 check_whole(struct entry_world *w, uint64_t id)
 {
-	CU_ASSERT_EQUAL(net_answer(w->n, id)->status, 200);
-	CU_ASSERT_STRING_EQUAL(net_answer_text(w->n, id, "outcome"), "done");
+	CU_ASSERT_EQUAL(net_response(w->n, id)->status, 200);
+	CU_ASSERT_STRING_EQUAL(net_response_text(w->n, id, "outcome"), "done");
 	CU_ASSERT_STRING_EQUAL(
-	    net_answer_text(w->n, id, "answer"), " t t t t t t t t");
+	    net_response_text(w->n, id, "answer"), " t t t t t t t t");
 }
 
 static struct net_node *
@@ -107,7 +107,7 @@
 		net_run(w.n, 200 * MH_US_PER_MS);
 		x = busy_llm(&w);
 		CU_ASSERT_PTR_NOT_NULL_FATAL(x);
-		net_silence(x, ways[i].in, ways[i].out);
+		net_drop_frames(x, ways[i].in, ways[i].out);
 		net_run(w.n, 3 * MH_US_PER_S);
 		check_whole(&w, id);
 		CU_ASSERT(mh_counter(w.e->k, "member_silent_links") > 0);
@@ -183,8 +183,8 @@
 static void
 test_stream_of_a_call_that_is_gone(void)
 {
-	struct net_ask slow = { .path = "/v1/pipelines/plan",
-		.class_asked = "batch",
+	struct net_request_args slow = { .path = "/v1/pipelines/plan",
+		.class_name = "batch",
 		.body = "{\"input\":\"x\",\"max_tokens\":8}" };
 	struct entry_world w;
 	struct net_node *x;
@@ -192,7 +192,7 @@
 
 	make(&w, 18, net_doc);
 	for (int i = 0; i < 3; i++) {
-		w.llm[i]->numbered = true;
+		w.llm[i]->numbers_tokens = true;
 		w.llm[i]->service_us = 2 * MH_US_PER_S;
 	}
 	/* It is known that they take so long: the stream isn't moved. */
@@ -206,12 +206,13 @@
 	CU_ASSERT_PTR_NOT_NULL_FATAL(x);
 	/* Over a second without its entry: the side process ends the call. */
 	w.e->paused = true;
-	net_cut(x);
+	net_break_links(x);
 	net_run(w.n, 1500 * MH_US_PER_MS);
 	w.e->paused = false;
 	net_run(w.n, 4 * MH_US_PER_S);
 	CU_ASSERT(mh_counter(w.e->k, "relay_resumes") > 0);
-	CU_ASSERT_EQUAL(tokens_in_order(net_answer_text(w.n, id, "answer")), 8);
+	CU_ASSERT_EQUAL(
+	    tokens_in_order(net_response_text(w.n, id, "answer")), 8);
 	net_destroy(w.n);
 }
 
@@ -221,23 +222,23 @@
 {
 	for (int stream = 0; stream < 2; stream++) {
 		struct entry_world w;
-		struct net_answer *a;
+		struct net_response *a;
 		uint64_t id;
 
 		make(&w, 19, net_doc);
 		for (int i = 0; i < 3; i++) {
-			w.llm[i]->numbered = true;
-			w.llm[i]->surplus = 1000;
+			w.llm[i]->numbers_tokens = true;
+			w.llm[i]->surplus_tokens = 1000;
 			w.llm[i]->service_us = 3 * MH_US_PER_S;
 		}
 		id = plan(&w, stream == 1);
 		net_run(w.n, 500 * MH_US_PER_MS);
-		a = net_answer(w.n, id);
+		a = net_response(w.n, id);
 		CU_ASSERT_TRUE(a->ended);
 		CU_ASSERT_PTR_NULL(busy_llm(&w));
 		CU_ASSERT_EQUAL(stream == 1
 			? a->parts - 1
-			: tokens_in_order(net_answer_text(w.n, id, "answer")),
+			: tokens_in_order(net_response_text(w.n, id, "answer")),
 		    8);
 		net_destroy(w.n);
 	}
@@ -255,7 +256,7 @@
 
 	make(&w, 17, net_doc);
 	for (int i = 0; i < 3; i++)
-		w.llm[i]->cut = true;
+		w.llm[i]->truncates = true;
 	id = plan(&w, false);
 	net_run(w.n, 3 * MH_US_PER_S);
 	check_whole(&w, id);
@@ -271,8 +272,8 @@
 	uint64_t ids[60];
 
 	make(&w, 3, net_doc);
-	w.n->duplicate = 0.3;
-	w.n->delay = 0.2;
+	w.n->duplicate_share = 0.3;
+	w.n->delay_share = 0.2;
 	for (int i = 0; i < 60; i++) {
 		ids[i] = plan(&w, false);
 		net_run(w.n, 100 * MH_US_PER_MS);
@@ -291,10 +292,10 @@
 
 	switch (mh_random(w->n->k) % 6) {
 	case 0:
-		net_cut(x);
+		net_break_links(x);
 		break;
 	case 1:
-		net_silence(x, true, mh_random(w->n->k) % 2 == 0);
+		net_drop_frames(x, true, mh_random(w->n->k) % 2 == 0);
 		break;
 	case 2:
 		net_kill(x);
@@ -302,15 +303,15 @@
 		break;
 	case 3:
 		w->e->paused = true;
-		net_cut(w->e);
+		net_break_links(w->e);
 		net_run(w->n, (int64_t)(mh_random(w->n->k) % 1500) * 1000);
 		w->e->paused = false;
 		break;
 	case 4:
-		x->cut = !x->cut;
+		x->truncates = !x->truncates;
 		break;
 	default:
-		x->surplus = x->surplus == 0 ? 3 : 0;
+		x->surplus_tokens = x->surplus_tokens == 0 ? 3 : 0;
 		break;
 	}
 }
@@ -320,11 +321,11 @@
 check_stream(struct entry_world *w, uint64_t id)
 {
 	const char *end;
-	char *text = streamed_text(net_answer(w->n, id)->body->str, &end);
+	char *text = streamed_text(net_response(w->n, id)->body->str, &end);
 	bool done = g_str_has_prefix(end, "event: done\ndata: ");
 	json_t *j;
 
-	CU_ASSERT_TRUE(net_answer(w->n, id)->ended);
+	CU_ASSERT_TRUE(net_response(w->n, id)->ended);
 	if (done) {
 		j = json_loads(strchr(end, '{'), JSON_DISABLE_EOF_CHECK, NULL);
 		CU_ASSERT_STRING_EQUAL(
@@ -335,7 +336,7 @@
 		CU_ASSERT(*text == '\0' || tokens_in_order(text) > 0);
 		/* It says that it is not whole, as an event or a status. */
 		CU_ASSERT(g_str_has_prefix(end, "event: problem\ndata: ") ||
-		    net_answer(w->n, id)->status >= 400);
+		    net_response(w->n, id)->status >= 400);
 	}
 	g_free(text);
 	return done;
@@ -345,8 +346,8 @@
 static void
 test_streams_in_trouble(void)
 {
-	struct net_ask a = { .path = "/v1/pipelines/plan",
-		.class_asked = "batch",
+	struct net_request_args a = { .path = "/v1/pipelines/plan",
+		.class_name = "batch",
 		.body = "{\"input\":\"x\",\"max_tokens\":8,"
 			"\"stream\":true}" };
 
@@ -357,10 +358,10 @@
 		uint32_t done = 0;
 
 		make(&w, seed, net_doc);
-		w.n->duplicate = 0.1;
-		w.n->delay = 0.05;
+		w.n->duplicate_share = 0.1;
+		w.n->delay_share = 0.05;
 		for (int i = 0; i < 3; i++) {
-			w.llm[i]->numbered = true;
+			w.llm[i]->numbers_tokens = true;
 			w.llm[i]->service_us = 1500 * MH_US_PER_MS;
 		}
 		for (size_t i = 0; i < G_N_ELEMENTS(ids); i++) {
@@ -399,8 +400,8 @@
 
 		id = embed(&w);
 		net_run(w.n, 700 * MH_US_PER_MS);
-		slow += net_answer(w.n, id)->at_us - at > 100 * MH_US_PER_MS;
-		CU_ASSERT_EQUAL(net_answer(w.n, id)->status, 200);
+		slow += net_response(w.n, id)->at_us - at > 100 * MH_US_PER_MS;
+		CU_ASSERT_EQUAL(net_response(w.n, id)->status, 200);
 	}
 	CU_ASSERT(slow <= 1);
 	CU_ASSERT(mh_counter(w.e->k, "pipe_hedges_won") > 0);
@@ -451,7 +452,7 @@
 	set_encoders(&w, 5 * MH_US_PER_MS, 0);
 	net_run(w.n, 2500 * MH_US_PER_MS);
 	CU_ASSERT_EQUAL(mh_counter(w.e->k, "pipe_timeouts"), 1);
-	CU_ASSERT_EQUAL(net_answer(w.n, id)->status, 200);
+	CU_ASSERT_EQUAL(net_response(w.n, id)->status, 200);
 	net_destroy(w.n);
 }
 
@@ -493,9 +494,9 @@
 	make(&w, 14, net_doc);
 	id = embed(&w);
 	net_run(w.n, MH_US_PER_S);
-	CU_ASSERT_EQUAL(net_answer(w.n, id)->status, 200);
+	CU_ASSERT_EQUAL(net_response(w.n, id)->status, 200);
 	CU_ASSERT_PTR_NOT_NULL(
-	    strstr(net_answer(w.n, id)->body->str, "\"embedding\":[1,2]"));
+	    strstr(net_response(w.n, id)->body->str, "\"embedding\":[1,2]"));
 	net_destroy(w.n);
 }
 
@@ -513,10 +514,10 @@
 	at = net_now(w.n);
 	id = embed(&w);
 	net_run(w.n, 4 * MH_US_PER_S);
-	CU_ASSERT_EQUAL(net_answer(w.n, id)->status, 503);
-	CU_ASSERT(net_answer(w.n, id)->at_us - at < 200 * MH_US_PER_MS);
-	CU_ASSERT(net_answer(w.n, id)->retry_after_s >= 1);
-	CU_ASSERT_STRING_EQUAL(net_answer_text(w.n, id, "outcome"), "failed");
+	CU_ASSERT_EQUAL(net_response(w.n, id)->status, 503);
+	CU_ASSERT(net_response(w.n, id)->at_us - at < 200 * MH_US_PER_MS);
+	CU_ASSERT(net_response(w.n, id)->retry_after_s >= 1);
+	CU_ASSERT_STRING_EQUAL(net_response_text(w.n, id, "outcome"), "failed");
 	net_destroy(w.n);
 }
 
@@ -525,7 +526,7 @@
 test_infeasible_is_refused_early(void)
 {
 	struct entry_world w;
-	struct net_ask a = { .path = "/v1/pipelines/plan",
+	struct net_request_args a = { .path = "/v1/pipelines/plan",
 		.body = "{\"input\":\"x\",\"max_tokens\":100}",
 		.deadline_us = 100 * MH_US_PER_MS };
 	uint64_t id;
@@ -533,9 +534,10 @@
 	make(&w, 7, net_doc);
 	id = net_request(w.e, &a);
 	net_run(w.n, 5 * MH_US_PER_MS);
-	CU_ASSERT_EQUAL(net_answer(w.n, id)->status, 503);
-	CU_ASSERT(net_answer(w.n, id)->retry_after_s >= 1);
-	CU_ASSERT_STRING_EQUAL(net_answer_text(w.n, id, "outcome"), "not-run");
+	CU_ASSERT_EQUAL(net_response(w.n, id)->status, 503);
+	CU_ASSERT(net_response(w.n, id)->retry_after_s >= 1);
+	CU_ASSERT_STRING_EQUAL(
+	    net_response_text(w.n, id, "outcome"), "not-run");
 	CU_ASSERT_EQUAL(mh_counter(w.e->k, "relay_calls"), 0);
 	net_destroy(w.n);
 }
@@ -551,7 +553,7 @@
 	id = plan(&w, true);
 	net_run(w.n, 200 * MH_US_PER_MS);
 	CU_ASSERT_PTR_NOT_NULL(busy_llm(&w));
-	net_caller_leaves(w.e, id);
+	net_disconnect_caller(w.e, id);
 	net_run(w.n, 10 * MH_US_PER_MS);
 	CU_ASSERT_PTR_NULL(busy_llm(&w));
 	CU_ASSERT_EQUAL(
@@ -576,7 +578,7 @@
 			ids[i] = plan(&w, false);
 		net_run(w.n, 100 * MH_US_PER_MS);
 		if (by_list)
-			w.llm[0]->leaving = true;
+			w.llm[0]->draining = true;
 		else
 			mh_side_drain(w.llm[0]->k, GRACE_US);
 		net_run(w.n, 3 * MH_US_PER_S);
@@ -620,7 +622,7 @@
 test_requests_during_a_start(void)
 {
 	struct entry_world w;
-	struct net_ask a = { .path = "/v1/pipelines/embed" };
+	struct net_request_args a = { .path = "/v1/pipelines/embed" };
 	uint64_t ids[5];
 
 	make(&w, 16, net_doc);
@@ -632,7 +634,7 @@
 	}
 	net_run(w.n, MH_US_PER_S);
 	for (int i = 0; i < 5; i++)
-		CU_ASSERT_EQUAL(net_answer(w.n, ids[i])->status, 200);
+		CU_ASSERT_EQUAL(net_response(w.n, ids[i])->status, 200);
 	net_destroy(w.n);
 }
 
@@ -653,8 +655,8 @@
 	new = plan(&w, false);
 	net_run(w.n, 3 * MH_US_PER_S);
 	CU_ASSERT_STRING_EQUAL(
-	    net_answer_text(w.n, old, "class"), "interactive");
-	CU_ASSERT_STRING_EQUAL(net_answer_text(w.n, new, "class"), "batch");
+	    net_response_text(w.n, old, "class"), "interactive");
+	CU_ASSERT_STRING_EQUAL(net_response_text(w.n, new, "class"), "batch");
 	g_strfreev(p);
 	g_free(doc);
 	net_destroy(w.n);
@@ -669,9 +671,9 @@
 {
 	struct entry_world w;
 	char *doc = g_strdup(net_doc), **p;
-	struct net_ask other = { .path = "/v1/pipelines/embed",
-		.key = "volt-key" };
-	struct net_ask large = { .path = "/v1/pipelines/plan",
+	struct net_request_args other = { .path = "/v1/pipelines/embed",
+		.api_key = "volt-key" };
+	struct net_request_args large = { .path = "/v1/pipelines/plan",
 		.body = "{\"input\":\"x\",\"max_tokens\":120}" };
 	uint64_t id = 0;
 	int limited = 0;
@@ -687,21 +689,21 @@
 	for (int i = 0; i < 100; i++) {
 		id = embed(&w);
 		net_run(w.n, MH_US_PER_MS);
-		if (net_answer(w.n, id)->status == 429) {
+		if (net_response(w.n, id)->status == 429) {
 			limited++;
-			CU_ASSERT(net_answer(w.n, id)->retry_after_s >= 1);
+			CU_ASSERT(net_response(w.n, id)->retry_after_s >= 1);
 		}
 	}
 	CU_ASSERT(limited > 20 && limited < 90);
 	id = net_request(w.e, &large);
 	net_run(w.n, 10 * MH_US_PER_MS);
-	CU_ASSERT_EQUAL(net_answer(w.n, id)->status, 400);
+	CU_ASSERT_EQUAL(net_response(w.n, id)->status, 400);
 	net_run(w.n, 5 * MH_US_PER_S);
 	for (int i = 0; i < 3; i++)
 		w.enc[i]->service_us = 10 * MH_US_PER_MS;
 	id = net_request(w.e, &other);
 	net_run(w.n, 4 * MH_US_PER_S);
-	CU_ASSERT_EQUAL(net_answer(w.n, id)->status, 200);
+	CU_ASSERT_EQUAL(net_response(w.n, id)->status, 200);
 	g_free(doc);
 	net_destroy(w.n);
 }
@@ -715,9 +717,9 @@
 {
 	struct net *n = net_create(13);
 	struct net_node *e1, *e2, *x;
-	struct net_ask draft = { .path = "/v1/pipelines/embed",
-		.class_asked = "batch" };
-	struct net_ask soon = { .path = "/v1/pipelines/embed" };
+	struct net_request_args draft = { .path = "/v1/pipelines/embed",
+		.class_name = "batch" };
+	struct net_request_args soon = { .path = "/v1/pipelines/embed" };
 	uint64_t drafts[20], id;
 	int before = 0;
 
@@ -733,8 +735,8 @@
 	id = net_request(e2, &soon);
 	net_run(n, 3 * MH_US_PER_S);
 	for (int i = 0; i < 20; i++)
-		before +=
-		    net_answer(n, drafts[i])->at_us < net_answer(n, id)->at_us;
+		before += net_response(n, drafts[i])->at_us <
+		    net_response(n, id)->at_us;
 	CU_ASSERT(before <= 2);
 	net_destroy(n);
 }
--- a/regress/t_fuzz.c
+++ b/regress/t_fuzz.c
@@ -200,14 +200,14 @@
 		gsize len;
 		const char *data = g_bytes_get_data(b, &len);
 		char *text = g_strndup(data, len);
-		struct net_ask a = { .path = "/v1/pipelines/embed",
+		struct net_request_args a = { .path = "/v1/pipelines/embed",
 			.body = text };
 		uint64_t id = net_request(e, &a);
 
 		net_run(n, 20 * MH_US_PER_MS);
 		sent++;
-		answered += net_answer(n, id)->status == 200 ||
-		    net_answer(n, id)->status == 400;
+		answered += net_response(n, id)->status == 200 ||
+		    net_response(n, id)->status == 400;
 		g_free(text);
 		g_bytes_unref(b);
 	}
--- a/regress/t_grace.c
+++ b/regress/t_grace.c
@@ -92,7 +92,7 @@
 static uint64_t
 send_request(struct net_node *x, const char *path, const char *once)
 {
-	struct net_ask a = { .path = path, .once = once };
+	struct net_request_args a = { .path = path, .idempotency_key = once };
 	uint64_t id = net_request(x, &a);
 
 	net_run(x->net, 10 * MH_US_PER_MS);
@@ -102,21 +102,21 @@
 static const char *
 lookup(struct net_node *x, const char *path)
 {
-	struct net_ask a = { .method = "GET", .path = path };
+	struct net_request_args a = { .method = "GET", .path = path };
 	uint64_t id = net_request(x, &a);
 
 	net_run(x->net, 100 * MH_US_PER_MS);
-	return net_answer_text(x->net, id, "outcome");
+	return net_response_text(x->net, id, "outcome");
 }
 
 static void
 check_answer(struct net *n, uint64_t id, const char *outcome, int64_t until_us)
 {
-	const struct net_answer *a = net_answer(n, id);
+	const struct net_response *a = net_response(n, id);
 
 	CU_ASSERT_TRUE(a->ended);
 	CU_ASSERT(a->at_us <= until_us);
-	CU_ASSERT_STRING_EQUAL(net_answer_text(n, id, "outcome"), outcome);
+	CU_ASSERT_STRING_EQUAL(net_response_text(n, id, "outcome"), outcome);
 }
 
 /*
@@ -139,8 +139,8 @@
 	exit_us = drain_to_exit(w.e[0], 0, GRACE_US);
 	for (size_t i = 0; i < G_N_ELEMENTS(id); i++) {
 		check_answer(w.n, id[i], "failed", exit_us);
-		CU_ASSERT_EQUAL(net_answer(w.n, id[i])->status, 503);
-		CU_ASSERT(net_answer(w.n, id[i])->retry_after_s > 0);
+		CU_ASSERT_EQUAL(net_response(w.n, id[i])->status, 503);
+		CU_ASSERT(net_response(w.n, id[i])->retry_after_s > 0);
 	}
 	net_run(w.n, CALL_US);
 	CU_ASSERT_EQUAL(w.side->runs, 1);
@@ -169,10 +169,10 @@
 		char at[64];
 
 		check_answer(w.n, id[i], "unknown", exit_us);
-		CU_ASSERT_EQUAL(net_answer(w.n, id[i])->status, 504);
+		CU_ASSERT_EQUAL(net_response(w.n, id[i])->status, 504);
 		snprintf(at, sizeof(at), "/v1/outcomes/confirm/k%zu", i + 1);
 		CU_ASSERT_STRING_EQUAL(
-		    net_answer_text(w.n, id[i], "lookup"), at);
+		    net_response_text(w.n, id[i], "lookup"), at);
 	}
 	net_run(w.n, CALL_US);
 	CU_ASSERT_STRING_EQUAL(
@@ -203,8 +203,8 @@
 	mh_entry_drain(w.e[0]->k, GRACE_US);
 	exit_us = drain_to_exit(w.e[0], 0, GRACE_US);
 	check_answer(w.n, id, "not-run", exit_us);
-	CU_ASSERT_EQUAL(net_answer(w.n, id)->status, 503);
-	CU_ASSERT(net_answer(w.n, id)->retry_after_s > 0);
+	CU_ASSERT_EQUAL(net_response(w.n, id)->status, 503);
+	CU_ASSERT(net_response(w.n, id)->retry_after_s > 0);
 	CU_ASSERT_EQUAL(net_runs(w.n, "acme/k1"), 0);
 	net_destroy(w.n);
 }
@@ -216,10 +216,10 @@
 static void
 test_entry_ends_with_a_stream(void)
 {
-	struct net_ask a = { .path = "/v1/pipelines/tell",
+	struct net_request_args a = { .path = "/v1/pipelines/tell",
 		.body = "{\"input\":\"x\",\"stream\":true,"
 			"\"max_tokens\":100}" };
-	const struct net_answer *answer;
+	const struct net_response *answer;
 	struct grace_world w;
 	uint64_t id;
 	int64_t exit_us;
@@ -228,10 +228,10 @@
 	setup_with(&w, 4, "llm", "retries: plain, fixed_timeout_ms: 60000, ");
 	id = net_request(w.e[0], &a);
 	net_run(w.n, MH_US_PER_S);
-	CU_ASSERT(net_answer(w.n, id)->parts > 0);
+	CU_ASSERT(net_response(w.n, id)->parts > 0);
 	mh_entry_drain(w.e[0]->k, GRACE_US);
 	exit_us = drain_to_exit(w.e[0], 0, GRACE_US);
-	answer = net_answer(w.n, id);
+	answer = net_response(w.n, id);
 	CU_ASSERT_TRUE(answer->ended);
 	CU_ASSERT(answer->at_us <= exit_us);
 	CU_ASSERT_TRUE(g_str_has_prefix(answer->body->str, "event: token\n"));
@@ -265,16 +265,16 @@
 	accepted = send_request(w.e[0], path, NULL);
 	net_run(w.n, 5 * MH_US_PER_S);
 	late[0] = send_request(w.e[0], path, NULL);
-	CU_ASSERT_TRUE(net_answer(w.n, late[0])->ended);
+	CU_ASSERT_TRUE(net_response(w.n, late[0])->ended);
 	net_run(w.n, 2200 * MH_US_PER_MS);
 	late[1] = send_request(w.e[0], path, NULL);
-	CU_ASSERT_TRUE(net_answer(w.n, late[1])->ended);
+	CU_ASSERT_TRUE(net_response(w.n, late[1])->ended);
 	exit_us = drain_to_exit(w.e[0], 7220 * MH_US_PER_MS, GRACE_US);
 	check_answer(w.n, accepted, "done", exit_us);
 	for (size_t i = 0; i < G_N_ELEMENTS(late); i++) {
 		check_answer(w.n, late[i], "not-run", exit_us);
-		CU_ASSERT_EQUAL(net_answer(w.n, late[i])->status, 503);
-		CU_ASSERT(net_answer(w.n, late[i])->retry_after_s > 0);
+		CU_ASSERT_EQUAL(net_response(w.n, late[i])->status, 503);
+		CU_ASSERT(net_response(w.n, late[i])->retry_after_s > 0);
 	}
 	net_destroy(w.n);
 }
@@ -287,7 +287,7 @@
 static void
 test_lookup_at_the_end(void)
 {
-	struct net_ask a = { .method = "GET",
+	struct net_request_args a = { .method = "GET",
 		.path = "/v1/outcomes/confirm/k1" };
 	struct grace_world w;
 	uint64_t id;
@@ -296,11 +296,11 @@
 	setup(&w, 6, "book");
 	mh_entry_drain(w.e[0]->k, MIN_GRACE_US);
 	net_run(w.n, 900 * MH_US_PER_MS);
-	net_silence(w.side, false, true);
+	net_drop_frames(w.side, false, true);
 	id = net_request(w.e[0], &a);
 	exit_us = drain_to_exit(w.e[0], 900 * MH_US_PER_MS, MIN_GRACE_US);
 	check_answer(w.n, id, "unknown", exit_us);
-	CU_ASSERT_EQUAL(net_answer(w.n, id)->status, 503);
+	CU_ASSERT_EQUAL(net_response(w.n, id)->status, 503);
 	net_destroy(w.n);
 }
 
@@ -328,8 +328,8 @@
 	mh_entry_drain(late->k, MIN_GRACE_US);
 	exit_us = drain_to_exit(late, 0, MIN_GRACE_US);
 	check_answer(w.n, id, "not-run", exit_us);
-	CU_ASSERT_EQUAL(net_answer(w.n, id)->status, 503);
-	CU_ASSERT(net_answer(w.n, id)->retry_after_s > 0);
+	CU_ASSERT_EQUAL(net_response(w.n, id)->status, 503);
+	CU_ASSERT(net_response(w.n, id)->retry_after_s > 0);
 	net_destroy(w.n);
 }
 
--- a/regress/t_nodes.c
+++ b/regress/t_nodes.c
@@ -91,7 +91,7 @@
 	for (guint i = 0; i < w.n->nodes->len; i++) {
 		struct net_node *x = w.n->nodes->pdata[i];
 
-		conf += mh_member_watcher(x->k, "config");
+		conf += mh_member_is_watcher(x->k, "config");
 	}
 	CU_ASSERT(conf >= 3 && conf <= 6);
 	net_destroy(w.n);
@@ -159,7 +159,7 @@
 static uint64_t
 embed(struct net_node *e)
 {
-	struct net_ask a = { .path = "/v1/pipelines/embed" };
+	struct net_request_args a = { .path = "/v1/pipelines/embed" };
 
 	return net_request(e, &a);
 }
@@ -180,7 +180,7 @@
 	}
 	net_run(w->n, 5 * MH_US_PER_S);
 	for (int i = 0; i < count; i++)
-		succeeded += net_answer(w->n, ids[i])->status == 200;
+		succeeded += net_response(w->n, ids[i])->status == 200;
 	g_free(ids);
 	return succeeded;
 }
@@ -196,10 +196,10 @@
 	e = net_entry(n, "entry1", "a");
 	net_run(n, 3 * MH_US_PER_S);
 	CU_ASSERT_EQUAL(mh_conf_generation(e->k), 1);
-	n->kv_tear = true;
+	n->kv_truncate_doc = true;
 	net_apply(n, 2, net_doc);
 	net_run(n, 3 * MH_US_PER_S);
-	CU_ASSERT_FALSE(n->kv_tear);
+	CU_ASSERT_FALSE(n->kv_truncate_doc);
 	CU_ASSERT_EQUAL(mh_counter(e->k, "conf_bad_doc"), 1);
 	CU_ASSERT_EQUAL(mh_conf_generation(e->k), 2);
 	net_destroy(n);
@@ -253,10 +253,10 @@
 
 	create_nodes(&w, 7, net_doc);
 	for (int i = 0; i < SIDES; i += 3)
-		net_vanish(w.s[i]);
+		net_crash_vm(w.s[i]);
 	for (int i = 0; i < ENTRIES; i += 3) {
 		w.e[i]->listed = false;
-		net_vanish(w.e[i]);
+		net_crash_vm(w.e[i]);
 	}
 	CU_ASSERT(serve(&w, 200, 10 * MH_US_PER_MS) >= 199);
 	net_destroy(w.n);
@@ -276,7 +276,7 @@
 		if (x->k == NULL)
 			net_start(x);
 		else if (mh_random(w.n->k) % 8 == 0)
-			net_vanish(x);
+			net_crash_vm(x);
 		else
 			net_kill(x);
 		succeeded += serve(&w, 20, 5 * MH_US_PER_MS);
--- a/regress/t_once.c
+++ b/regress/t_once.c
@@ -34,7 +34,8 @@
 static uint64_t
 confirm(struct net_node *e, const char *key)
 {
-	struct net_ask a = { .path = "/v1/pipelines/confirm", .once = key };
+	struct net_request_args a = { .path = "/v1/pipelines/confirm",
+		.idempotency_key = key };
 
 	return net_request(e, &a);
 }
@@ -95,8 +96,8 @@
 	a = confirm(w.e[0], "k1");
 	b = confirm(w.e[1], "k1");
 	net_run(w.n, MH_US_PER_S);
-	CU_ASSERT_EQUAL(net_answer(w.n, a)->status, 200);
-	CU_ASSERT_EQUAL(net_answer(w.n, b)->status, 200);
+	CU_ASSERT_EQUAL(net_response(w.n, a)->status, 200);
+	CU_ASSERT_EQUAL(net_response(w.n, b)->status, 200);
 	CU_ASSERT_EQUAL(net_runs(w.n, "acme/k1"), 1);
 	net_destroy(w.n);
 }
@@ -124,12 +125,12 @@
 	net_run(w.n, 50 * MH_US_PER_MS);
 	net_start(owner);
 	net_run(w.n, 3 * MH_US_PER_S);
-	CU_ASSERT_EQUAL(net_answer(w.n, a)->status, 504);
-	CU_ASSERT_STRING_EQUAL(net_answer_text(w.n, a, "outcome"), "unknown");
+	CU_ASSERT_EQUAL(net_response(w.n, a)->status, 504);
+	CU_ASSERT_STRING_EQUAL(net_response_text(w.n, a, "outcome"), "unknown");
 	b = confirm(w.e[1], key);
 	net_run(w.n, 3 * MH_US_PER_S);
-	CU_ASSERT_STRING_EQUAL(net_answer_text(w.n, b, "outcome"), "unknown");
-	CU_ASSERT_EQUAL(net_most_runs(w.n), 1);
+	CU_ASSERT_STRING_EQUAL(net_response_text(w.n, b, "outcome"), "unknown");
+	CU_ASSERT_EQUAL(net_max_runs(w.n), 1);
 	g_free(key);
 	net_destroy(w.n);
 }
@@ -152,18 +153,18 @@
 	CU_ASSERT_PTR_NOT_NULL_FATAL(owner);
 	a = confirm(w.e[0], "party-9");
 	net_run(w.n, MH_US_PER_S);
-	CU_ASSERT_EQUAL(net_answer(w.n, a)->status, 200);
+	CU_ASSERT_EQUAL(net_response(w.n, a)->status, 200);
 	net_kill(owner);
 	net_start(owner);
 	net_run(w.n, 4 * MH_US_PER_S);
 	b = confirm(w.e[0], "party-9");
 	net_run(w.n, 3 * MH_US_PER_S);
-	CU_ASSERT_STRING_EQUAL(net_answer_text(w.n, b, "outcome"), "unknown");
+	CU_ASSERT_STRING_EQUAL(net_response_text(w.n, b, "outcome"), "unknown");
 	CU_ASSERT_EQUAL(net_runs(w.n, "acme/party-9"), 1);
 	net_run(w.n, 70 * MH_US_PER_S);
 	c = confirm(w.e[0], "party-10");
 	net_run(w.n, 3 * MH_US_PER_S);
-	CU_ASSERT_EQUAL(net_answer(w.n, c)->status, 200);
+	CU_ASSERT_EQUAL(net_response(w.n, c)->status, 200);
 	net_destroy(w.n);
 }
 
@@ -183,7 +184,7 @@
 	CU_ASSERT_PTR_NOT_NULL_FATAL(owner);
 	a = confirm(w.e[0], "k2");
 	net_run(w.n, MH_US_PER_S);
-	CU_ASSERT_EQUAL(net_answer(w.n, a)->status, 200);
+	CU_ASSERT_EQUAL(net_response(w.n, a)->status, 200);
 	mh_side_drain(owner->k, GRACE_US);
 	net_run(w.n, 3 * MH_US_PER_S);
 	CU_ASSERT_EQUAL(mh_claim_count(owner->k), 0);
@@ -192,7 +193,7 @@
 	owner->listed = false;
 	b = confirm(w.e[1], "k2");
 	net_run(w.n, 2 * MH_US_PER_S);
-	CU_ASSERT_EQUAL(net_answer(w.n, b)->status, 200);
+	CU_ASSERT_EQUAL(net_response(w.n, b)->status, 200);
 	CU_ASSERT_EQUAL(net_runs(w.n, "acme/k2"), 1);
 	net_destroy(w.n);
 }
@@ -215,7 +216,7 @@
 	make(&w, 15);
 	owner = owner_of(&w, "first");
 	CU_ASSERT_PTR_NOT_NULL_FATAL(owner);
-	owner->answer_bytes = 800000;
+	owner->response_bytes = 800000;
 	for (int i = 0; n < 8; i++) {
 		char *full;
 
@@ -237,8 +238,8 @@
 	CU_ASSERT_EQUAL(mh_claim_count(owner->k), 0);
 	a = confirm(w.e[1], last);
 	net_run(w.n, 2 * MH_US_PER_S);
-	CU_ASSERT_EQUAL(net_answer(w.n, a)->status, 200);
-	CU_ASSERT_EQUAL(net_most_runs(w.n), 1);
+	CU_ASSERT_EQUAL(net_response(w.n, a)->status, 200);
+	CU_ASSERT_EQUAL(net_max_runs(w.n), 1);
 	net_destroy(w.n);
 }
 
@@ -257,16 +258,16 @@
 		make(&w, 16);
 		owner = owner_of(&w, "long");
 		CU_ASSERT_PTR_NOT_NULL_FATAL(owner);
-		owner->answer_bytes = MH_MAX_FRAME - over[i];
+		owner->response_bytes = MH_MAX_FRAME - over[i];
 		at = net_now(w.n);
 		a = confirm(w.e[0], "long");
 		net_run(w.n, 3 * MH_US_PER_S);
-		CU_ASSERT_EQUAL(net_answer(w.n, a)->status, 504);
+		CU_ASSERT_EQUAL(net_response(w.n, a)->status, 504);
 		CU_ASSERT_STRING_EQUAL(
-		    net_answer_text(w.n, a, "outcome"), "unknown");
-		CU_ASSERT(net_answer(w.n, a)->at_us - at < MH_US_PER_S);
+		    net_response_text(w.n, a, "outcome"), "unknown");
+		CU_ASSERT(net_response(w.n, a)->at_us - at < MH_US_PER_S);
 		CU_ASSERT_EQUAL(mh_counter(w.e[0]->k, "relay_resumes"), 0);
-		CU_ASSERT_EQUAL(net_most_runs(w.n), 1);
+		CU_ASSERT_EQUAL(net_max_runs(w.n), 1);
 		net_destroy(w.n);
 	}
 }
@@ -284,7 +285,7 @@
 	old = key_now(w.n);
 	owner = owner_of(&w, old);
 	CU_ASSERT_PTR_NOT_NULL_FATAL(owner);
-	net_vanish(owner);
+	net_crash_vm(owner);
 	net_run(w.n, 2 * MH_US_PER_S);
 	owner->listed = false;
 	net_run(w.n, 10 * MH_US_PER_S);
@@ -294,15 +295,15 @@
 	}
 	a = confirm(w.e[0], old);
 	net_run(w.n, 3 * MH_US_PER_S);
-	CU_ASSERT_STRING_EQUAL(net_answer_text(w.n, a, "outcome"), "unknown");
+	CU_ASSERT_STRING_EQUAL(net_response_text(w.n, a, "outcome"), "unknown");
 	do {
 		new = key_now(w.n);
 	} while (owner_of(&w, new) == NULL);
 	b = confirm(w.e[0], new);
 	net_run(w.n, MH_US_PER_S);
-	CU_ASSERT_EQUAL(net_answer(w.n, b)->status, 200);
+	CU_ASSERT_EQUAL(net_response(w.n, b)->status, 200);
 	CU_ASSERT_EQUAL(net_runs(w.n, "acme/"), 0);
-	CU_ASSERT_EQUAL(net_most_runs(w.n), 1);
+	CU_ASSERT_EQUAL(net_max_runs(w.n), 1);
 	g_free(old);
 	g_free(new);
 	net_destroy(w.n);
@@ -346,7 +347,7 @@
 	make(&w, 7);
 	net_kill(w.s[0]);
 	net_start(w.s[0]);
-	w.n->kv_lose_answer = true;
+	w.n->kv_lose_reply = true;
 	net_run(w.n, 6 * MH_US_PER_S);
 	CU_ASSERT(mh_claim_count(w.s[0]->k) >= 4);
 	CU_ASSERT(mh_counter(w.s[0]->k, "claim_kv_failed") > 0);
@@ -376,7 +377,7 @@
 		snprintf(key, sizeof(key), "out-%d", i);
 		a = confirm(w.e[i % 2], key);
 		net_run(w.n, 2 * MH_US_PER_S);
-		good += net_answer(w.n, a)->status == 200;
+		good += net_response(w.n, a)->status == 200;
 	}
 	CU_ASSERT_EQUAL(good, 100);
 	net_destroy(w.n);
@@ -387,27 +388,27 @@
 test_revoke(void)
 {
 	struct once_world w;
-	struct net_ask r = { .method = "DELETE",
+	struct net_request_args r = { .method = "DELETE",
 		.path = "/v1/outcomes/confirm/k5" };
-	struct net_ask g = { .method = "GET",
+	struct net_request_args g = { .method = "GET",
 		.path = "/v1/outcomes/confirm/k6" };
 	uint64_t a, b, c, d;
 
 	make(&w, 9);
 	a = net_request(w.e[0], &r);
 	net_run(w.n, MH_US_PER_S);
-	CU_ASSERT_STRING_EQUAL(net_answer_text(w.n, a, "outcome"), "not-run");
+	CU_ASSERT_STRING_EQUAL(net_response_text(w.n, a, "outcome"), "not-run");
 	b = confirm(w.e[1], "k5");
 	net_run(w.n, 10 * MH_US_PER_MS);
-	CU_ASSERT_EQUAL(net_answer(w.n, b)->status, 409);
-	CU_ASSERT_STRING_EQUAL(net_answer_text(w.n, b, "outcome"), "not-run");
+	CU_ASSERT_EQUAL(net_response(w.n, b)->status, 409);
+	CU_ASSERT_STRING_EQUAL(net_response_text(w.n, b, "outcome"), "not-run");
 	CU_ASSERT_EQUAL(net_runs(w.n, "acme/k5"), 0);
 	c = confirm(w.e[0], "k6");
 	net_run(w.n, MH_US_PER_S);
-	CU_ASSERT_EQUAL(net_answer(w.n, c)->status, 200);
+	CU_ASSERT_EQUAL(net_response(w.n, c)->status, 200);
 	d = net_request(w.e[1], &g);
 	net_run(w.n, MH_US_PER_S);
-	CU_ASSERT_STRING_EQUAL(net_answer_text(w.n, d, "outcome"), "done");
+	CU_ASSERT_STRING_EQUAL(net_response_text(w.n, d, "outcome"), "done");
 	net_destroy(w.n);
 }
 
@@ -419,8 +420,8 @@
 test_key_with_another_body(void)
 {
 	struct once_world w;
-	struct net_ask other = { .path = "/v1/pipelines/confirm",
-		.once = "k8",
+	struct net_request_args other = { .path = "/v1/pipelines/confirm",
+		.idempotency_key = "k8",
 		.body = "{\"body\":{\"order\":2}}" };
 	uint64_t a, b;
 
@@ -429,11 +430,11 @@
 	net_run(w.n, MH_US_PER_S);
 	b = net_request(w.e[1], &other);
 	net_run(w.n, 10 * MH_US_PER_MS);
-	CU_ASSERT_EQUAL(net_answer(w.n, a)->status, 200);
-	CU_ASSERT_EQUAL(net_answer(w.n, b)->status, 409);
-	CU_ASSERT_STRING_EQUAL(net_answer_text(w.n, b, "outcome"), "done");
+	CU_ASSERT_EQUAL(net_response(w.n, a)->status, 200);
+	CU_ASSERT_EQUAL(net_response(w.n, b)->status, 409);
+	CU_ASSERT_STRING_EQUAL(net_response_text(w.n, b, "outcome"), "done");
 	CU_ASSERT_STRING_EQUAL(
-	    net_answer_text(w.n, b, "lookup"), "/v1/outcomes/confirm/k8");
+	    net_response_text(w.n, b, "lookup"), "/v1/outcomes/confirm/k8");
 	CU_ASSERT_EQUAL(net_runs(w.n, "acme/k8"), 1);
 	net_destroy(w.n);
 }
@@ -459,7 +460,7 @@
 		snprintf(key, sizeof(key), "party-%d", i);
 		a = confirm(w.e[i % 2], key);
 		net_run(w.n, 200 * MH_US_PER_MS);
-		CU_ASSERT_EQUAL(net_answer(w.n, a)->status, 200);
+		CU_ASSERT_EQUAL(net_response(w.n, a)->status, 200);
 	}
 	dead = owner_of(&w, "party-0");
 	net_kill(dead);
@@ -467,15 +468,15 @@
 	for (int i = 0; i < 24; i++) {
 		char key[24];
 		int64_t at = net_now(w.n);
-		struct net_answer *ans;
+		struct net_response *ans;
 		const char *outcome;
 		uint64_t a;
 
 		snprintf(key, sizeof(key), "party-%d", i / 2);
 		a = confirm(w.e[i % 2], key);
 		net_run(w.n, 100 * MH_US_PER_MS);
-		ans = net_answer(w.n, a);
-		outcome = net_answer_text(w.n, a, "outcome");
+		ans = net_response(w.n, a);
+		outcome = net_response_text(w.n, a, "outcome");
 		CU_ASSERT_TRUE(ans->ended);
 		CU_ASSERT(ans->at_us - at < 100 * MH_US_PER_MS);
 		if (ans->status == 200)
@@ -485,10 +486,10 @@
 		CU_ASSERT_EQUAL(ans->status, 503);
 		CU_ASSERT(ans->retry_after_s >= 1);
 		CU_ASSERT(
-		    g_str_has_suffix(net_answer_text(w.n, a, "lookup"), key));
+		    g_str_has_suffix(net_response_text(w.n, a, "lookup"), key));
 	}
 	CU_ASSERT(unknown >= 6);
-	CU_ASSERT_EQUAL(net_most_runs(w.n), 1);
+	CU_ASSERT_EQUAL(net_max_runs(w.n), 1);
 	net_destroy(w.n);
 }
 
@@ -500,23 +501,23 @@
 test_lookup_without_owner(void)
 {
 	struct once_world w;
-	struct net_ask g = { .method = "GET",
+	struct net_request_args g = { .method = "GET",
 		.path = "/v1/outcomes/confirm/k9" };
 	uint64_t a, b, c;
 
 	make(&w, 18);
 	a = confirm(w.e[0], "k9");
 	net_run(w.n, MH_US_PER_S);
-	CU_ASSERT_EQUAL(net_answer(w.n, a)->status, 200);
+	CU_ASSERT_EQUAL(net_response(w.n, a)->status, 200);
 	owner_of(&w, "k9")->paused = true;
 	b = net_request(w.e[0], &g);
 	net_run(w.n, 5 * MH_US_PER_S);
 	c = net_request(w.e[1], &g);
 	net_run(w.n, 5 * MH_US_PER_S);
-	CU_ASSERT_EQUAL(net_answer(w.n, b)->status, 503);
-	CU_ASSERT_STRING_EQUAL(net_answer_text(w.n, b, "outcome"), "unknown");
-	CU_ASSERT_EQUAL(net_answer(w.n, c)->status, 503);
-	CU_ASSERT_STRING_EQUAL(net_answer_text(w.n, c, "outcome"), "unknown");
+	CU_ASSERT_EQUAL(net_response(w.n, b)->status, 503);
+	CU_ASSERT_STRING_EQUAL(net_response_text(w.n, b, "outcome"), "unknown");
+	CU_ASSERT_EQUAL(net_response(w.n, c)->status, 503);
+	CU_ASSERT_STRING_EQUAL(net_response_text(w.n, c, "outcome"), "unknown");
 	net_destroy(w.n);
 }
 
@@ -530,37 +531,37 @@
 test_refusals_of_a_key(void)
 {
 	struct once_world w;
-	struct net_ask hopeless = {
-		.path = "/v1/pipelines/confirm", .once = "k10", .deadline_us = 1
-	};
-	struct net_ask bad = {
-		.path = "/v1/pipelines/confirm", .once = "k10", .body = "["
-	};
-	struct net_ask plain = {
-		.path = "/v1/pipelines/plan", .once = "k10", .body = "["
-	};
+	struct net_request_args hopeless = { .path = "/v1/pipelines/confirm",
+		.idempotency_key = "k10",
+		.deadline_us = 1 };
+	struct net_request_args bad = { .path = "/v1/pipelines/confirm",
+		.idempotency_key = "k10",
+		.body = "[" };
+	struct net_request_args plain = { .path = "/v1/pipelines/plan",
+		.idempotency_key = "k10",
+		.body = "[" };
 	uint64_t a, b, c, d, e;
 
 	make(&w, 19);
 	a = confirm(w.e[0], "k10");
 	net_run(w.n, MH_US_PER_S);
-	CU_ASSERT_EQUAL(net_answer(w.n, a)->status, 200);
+	CU_ASSERT_EQUAL(net_response(w.n, a)->status, 200);
 	b = net_request(w.e[1], &hopeless);
 	c = net_request(w.e[1], &bad);
 	d = net_request(w.e[1], &plain);
 	net_run(w.n, MH_US_PER_S);
-	CU_ASSERT(net_answer(w.n, b)->status >= 500);
-	CU_ASSERT_STRING_EQUAL(net_answer_text(w.n, b, "outcome"), "unknown");
-	CU_ASSERT_EQUAL(net_answer(w.n, c)->status, 400);
-	CU_ASSERT_STRING_EQUAL(net_answer_text(w.n, c, "outcome"), "unknown");
+	CU_ASSERT(net_response(w.n, b)->status >= 500);
+	CU_ASSERT_STRING_EQUAL(net_response_text(w.n, b, "outcome"), "unknown");
+	CU_ASSERT_EQUAL(net_response(w.n, c)->status, 400);
+	CU_ASSERT_STRING_EQUAL(net_response_text(w.n, c, "outcome"), "unknown");
 	CU_ASSERT_STRING_EQUAL(
-	    net_answer_text(w.n, c, "lookup"), "/v1/outcomes/confirm/k10");
-	CU_ASSERT_STRING_EQUAL(net_answer_text(w.n, d, "outcome"), "not-run");
+	    net_response_text(w.n, c, "lookup"), "/v1/outcomes/confirm/k10");
+	CU_ASSERT_STRING_EQUAL(net_response_text(w.n, d, "outcome"), "not-run");
 	for (int i = 0; i < 3; i++)
-		w.s[i]->unsent = true;
+		w.s[i]->refuses_conn = true;
 	e = confirm(w.e[0], "k11");
 	net_run(w.n, 5 * MH_US_PER_S);
-	CU_ASSERT_STRING_EQUAL(net_answer_text(w.n, e, "outcome"), "not-run");
+	CU_ASSERT_STRING_EQUAL(net_response_text(w.n, e, "outcome"), "not-run");
 	CU_ASSERT_EQUAL(net_runs(w.n, "acme/k11"), 0);
 	net_destroy(w.n);
 }
@@ -594,14 +595,14 @@
 		make(&w, 10);
 		for (int j = 0; j < 3; j++) {
 			w.s[j]->status = cuts[i].status;
-			w.s[j]->unsent = cuts[i].unsent;
-			w.s[j]->cut = cuts[i].cut;
+			w.s[j]->refuses_conn = cuts[i].unsent;
+			w.s[j]->truncates = cuts[i].cut;
 		}
 		a = confirm(w.e[0], "k7");
 		net_run(w.n, 3 * MH_US_PER_S);
-		CU_ASSERT_EQUAL(net_answer(w.n, a)->status, cuts[i].answer);
+		CU_ASSERT_EQUAL(net_response(w.n, a)->status, cuts[i].answer);
 		CU_ASSERT_STRING_EQUAL(
-		    net_answer_text(w.n, a, "outcome"), cuts[i].outcome);
+		    net_response_text(w.n, a, "outcome"), cuts[i].outcome);
 		CU_ASSERT_EQUAL(net_runs(w.n, "acme/k7"), cuts[i].runs);
 		net_destroy(w.n);
 	}
@@ -620,7 +621,7 @@
 		struct net_node *x;
 
 		make(&w, seed);
-		w.n->kv_us = 100 * MH_US_PER_MS; /* a long hand-over */
+		w.n->kv_latency_us = 100 * MH_US_PER_MS; /* a long hand-over */
 		x = net_side(w.n, "book4", "book", "a", 4);
 		net_run(w.n, 2 * MH_US_PER_S);
 		for (int i = 0; i < 100; i++) {
@@ -638,8 +639,8 @@
 			confirm(w.e[1], key);
 		}
 		net_run(w.n, 5 * MH_US_PER_S);
-		CU_ASSERT_EQUAL(net_most_runs(w.n), 1);
-		CU_ASSERT_EQUAL(g_hash_table_size(w.n->audit), 100);
+		CU_ASSERT_EQUAL(net_max_runs(w.n), 1);
+		CU_ASSERT_EQUAL(g_hash_table_size(w.n->runs_by_key), 100);
 		CU_ASSERT(mh_claim_count(x->k) > 2);
 		net_destroy(w.n);
 	}
@@ -676,13 +677,13 @@
 		n->kv_down = !n->kv_down;
 		break;
 	case 5:
-		n->kv_lose_answer = true;
+		n->kv_lose_reply = true;
 		break;
 	case 6:
-		net_silence(x, true, true);
+		net_drop_frames(x, true, true);
 		break;
 	case 7:
-		net_silence(x, mh_random(n->k) & 1, mh_random(n->k) & 1);
+		net_drop_frames(x, mh_random(n->k) & 1, mh_random(n->k) & 1);
 		break;
 	case 8:
 		if (x->k != NULL && !x->paused)
@@ -697,11 +698,11 @@
 static void
 check_promises(struct net *n, struct ask_row *rows, int count)
 {
-	CU_ASSERT(net_most_runs(n) <= 1);
+	CU_ASSERT(net_max_runs(n) <= 1);
 	for (int i = 0; i < count; i++) {
-		struct net_answer *a = net_answer(n, rows[i].caller);
+		struct net_response *a = net_response(n, rows[i].caller);
 		const char *outcome =
-		    net_answer_text(n, rows[i].caller, "outcome");
+		    net_response_text(n, rows[i].caller, "outcome");
 		char *full = g_strconcat("acme/", rows[i].key, NULL);
 
 		CU_ASSERT_TRUE(a->ended);
@@ -725,8 +726,8 @@
 	int count = 0;
 
 	make(&w, seed);
-	w.n->duplicate = 0.1;
-	w.n->delay = 0.1;
+	w.n->duplicate_share = 0.1;
+	w.n->delay_share = 0.1;
 	while (count < MAX_ASKS) {
 		struct ask_row *r = &rows[count];
 		char *key = key_now(w.n);
--- a/regress/t_route.c
+++ b/regress/t_route.c
@@ -55,12 +55,12 @@
 	first = pick(&w, 77);
 	for (int i = 0; i < 20; i++)
 		CU_ASSERT_PTR_EQUAL(pick(&w, 77), first);
-	first->own = 10;
+	first->own_calls = 10;
 	second = pick(&w, 77);
 	CU_ASSERT_PTR_NOT_EQUAL(second, first);
 	for (int i = 0; i < 20; i++)
 		CU_ASSERT_PTR_EQUAL(pick(&w, 77), second);
-	first->own = 0;
+	first->own_calls = 0;
 	CU_ASSERT_PTR_EQUAL(pick(&w, 77), first);
 	net_destroy(w.n);
 }
--- a/regress/t_session.c
+++ b/regress/t_session.c
@@ -28,7 +28,7 @@
 static void
 add(GString *out, struct net *n, const char *what, uint64_t caller)
 {
-	struct net_answer *a = net_answer(n, caller);
+	struct net_response *a = net_response(n, caller);
 
 	g_string_append_printf(out,
 	    "%s: status=%u retry_after=%u parts=%u\n%s\n", what, a->status,
@@ -41,16 +41,16 @@
 	struct net *n = world();
 	struct net_node *e = net_entry(n, "entry1", "a");
 	GString *out = g_string_new(NULL);
-	struct net_ask plan = { .path = "/v1/pipelines/plan",
+	struct net_request_args plan = { .path = "/v1/pipelines/plan",
 		.body = "{\"input\":\"a party\",\"max_tokens\":3}" };
-	struct net_ask confirm = { .path = "/v1/pipelines/confirm",
-		.once = "order-17",
+	struct net_request_args confirm = { .path = "/v1/pipelines/confirm",
+		.idempotency_key = "order-17",
 		.body = "{\"body\":{\"order\":17}}" };
-	struct net_ask wrong = { .path = "/v1/pipelines/plan",
-		.key = "stolen" };
-	struct net_ask refused = { .path = "/v1/pipelines/confirm",
-		.class_asked = "batch" };
-	struct net_ask lookup = { .method = "GET",
+	struct net_request_args wrong = { .path = "/v1/pipelines/plan",
+		.api_key = "stolen" };
+	struct net_request_args refused = { .path = "/v1/pipelines/confirm",
+		.class_name = "batch" };
+	struct net_request_args lookup = { .method = "GET",
 		.path = "/v1/outcomes/confirm/order-17" };
 	uint64_t ids[6];
 
@@ -84,7 +84,7 @@
 	struct net *n = world();
 	struct net_node *e = net_entry(n, "entry1", "a");
 	GString *out = g_string_new(NULL);
-	struct net_ask plan = { .path = "/v1/pipelines/plan",
+	struct net_request_args plan = { .path = "/v1/pipelines/plan",
 		.body = "{\"input\":\"a\",\"max_tokens\":3,\"stream\":true}" };
 	uint64_t id;
 
@@ -148,20 +148,20 @@
 
 	net_run(n, 4 * MH_US_PER_S);
 	for (size_t i = 0; i < G_N_ELEMENTS(bads); i++) {
-		struct net_ask a = { .method = bads[i].method,
+		struct net_request_args a = { .method = bads[i].method,
 			.path = bads[i].path,
-			.key = bads[i].key,
-			.once = bads[i].once,
+			.api_key = bads[i].key,
+			.idempotency_key = bads[i].once,
 			.body = bads[i].body };
 		uint64_t id = net_request(e, &a);
 
 		net_run(n, 100 * MH_US_PER_MS);
-		CU_ASSERT_EQUAL(net_answer(n, id)->status, bads[i].status);
+		CU_ASSERT_EQUAL(net_response(n, id)->status, bads[i].status);
 		CU_ASSERT_STRING_EQUAL(
-		    net_answer_text(n, id, "title"), bads[i].title);
+		    net_response_text(n, id, "title"), bads[i].title);
 		CU_ASSERT_STRING_EQUAL(
-		    net_answer_text(n, id, "outcome"), bads[i].outcome);
-		CU_ASSERT(strlen(net_answer_text(n, id, "remedy")) > 0);
+		    net_response_text(n, id, "outcome"), bads[i].outcome);
+		CU_ASSERT(strlen(net_response_text(n, id, "remedy")) > 0);
 	}
 	net_destroy(n);
 }
@@ -171,15 +171,15 @@
 {
 	struct net *n = net_create(1);
 	struct net_node *e = net_entry(n, "entry1", "a");
-	struct net_ask a = { .path = "/v1/pipelines/plan" };
+	struct net_request_args a = { .path = "/v1/pipelines/plan" };
 	uint64_t id;
 
 	net_run(n, 3 * MH_US_PER_S);
 	id = net_request(e, &a);
 	net_run(n, MH_US_PER_S);
-	CU_ASSERT_EQUAL(net_answer(n, id)->status, 503);
+	CU_ASSERT_EQUAL(net_response(n, id)->status, 503);
 	CU_ASSERT_STRING_EQUAL(
-	    net_answer_text(n, id, "title"), "no-configuration");
+	    net_response_text(n, id, "title"), "no-configuration");
 	net_destroy(n);
 }
 
