--- a/regress/t_events.c
+++ b/regress/t_events.c
@@ -412,10 +412,10 @@
 	frig_list(r, "i-1", "i-1");
 	frig_converse(r, "GET /confirm/1 HTTP/1.1\r\n" CALLER "\r\n");
 	CU_ASSERT_EQUAL(r->answered, 1);
-	CU_ASSERT_EQUAL(plat_front_open(r->front), 1);
+	CU_ASSERT_EQUAL(plat_front_active_count(r->front), 1);
 	for (int i = 0; i < 5; i++)
 		frig_pause(r);
-	CU_ASSERT_EQUAL(plat_front_open(r->front), 0);
+	CU_ASSERT_EQUAL(plat_front_active_count(r->front), 0);
 	frig_destroy(r);
 }
 
--- a/regress/t_platform.c
+++ b/regress/t_platform.c
@@ -353,7 +353,7 @@
 			mh_headers_add(h, kv[0], kv[1]);
 			g_strfreev(kv);
 		}
-		plat_ans_decode(w->status, h, &a);
+		plat_resp_decode(w->status, h, &a);
 		CU_ASSERT_EQUAL(a.not_run, w->not_run);
 		CU_ASSERT_EQUAL(a.addr_reused, w->addr_reused);
 		CU_ASSERT_EQUAL(a.inputs_lost, w->inputs_lost);
@@ -371,7 +371,7 @@
 	struct mh_gresp a;
 
 	mh_headers_add(h, "X-Instance-Load", "3,1,8");
-	plat_ans_decode(200, h, &a);
+	plat_resp_decode(200, h, &a);
 	CU_ASSERT_TRUE(a.has_load);
 	CU_ASSERT_EQUAL(a.running, 3);
 	CU_ASSERT_EQUAL(a.waiting, 1);
@@ -379,7 +379,7 @@
 	mh_headers_destroy(h);
 	h = mh_headers_create();
 	mh_headers_add(h, "X-Instance-Load", "3,x");
-	plat_ans_decode(200, h, &a);
+	plat_resp_decode(200, h, &a);
 	CU_ASSERT_FALSE(a.has_load);
 	mh_headers_destroy(h);
 }
@@ -413,7 +413,7 @@
 		struct mh_gresp a;
 
 		mh_headers_add(h, "X-Instance-Load", t[i].text);
-		plat_ans_decode(200, h, &a);
+		plat_resp_decode(200, h, &a);
 		CU_ASSERT_EQUAL(a.has_load, t[i].has_load);
 		CU_ASSERT_EQUAL(a.pace_percent, t[i].percent);
 		if (a.has_load)
--- a/regress/t_platform_rows.c
+++ b/regress/t_platform_rows.c
@@ -35,8 +35,8 @@
 	CU_ASSERT_STRING_EQUAL(r->pool, "s");
 	CU_ASSERT_STRING_EQUAL(r->domain, "z");
 	CU_ASSERT_EQUAL(r->capacity, 64);
-	CU_ASSERT_EQUAL(r->born_ms, START_MS);
-	CU_ASSERT_TRUE(r->leaving);
+	CU_ASSERT_EQUAL(r->start_ms, START_MS);
+	CU_ASSERT_TRUE(r->draining);
 	CU_ASSERT_EQUAL(r->warm_us, 5 * MS);
 	plat_row_free(r);
 }
@@ -148,7 +148,7 @@
 		r = plat_row_decode("i", text, len, &err);
 		CU_ASSERT_EQUAL(r == NULL, err != NULL);
 		if (r != NULL) {
-			CU_ASSERT(r->capacity >= 1 && r->born_ms >= 0);
+			CU_ASSERT(r->capacity >= 1 && r->start_ms >= 0);
 			read++;
 		}
 		plat_row_free(r);
--- a/regress/t_stage.c
+++ b/regress/t_stage.c
@@ -198,7 +198,7 @@
 static void
 op_poll(void *arg, struct mh_sched *c, const char *node)
 {
-	plat_stages_ask(((struct srig *)arg)->stages, c, node);
+	plat_stages_poll(((struct srig *)arg)->stages, c, node);
 }
 
 static void
