--- a/regress/t_platform_rows.c
+++ b/regress/t_platform_rows.c
@@ -195,7 +195,7 @@
 				     "\"since\":%" PRIu64 ",\"count\":%d}",
 	    items, removals, since, count);
 
-	plat_view_take_rows(v, revision, text, strlen(text));
+	plat_view_receive_rows(v, revision, text, strlen(text));
 	g_free(text);
 }
 
@@ -276,7 +276,7 @@
 	f = r.f;
 	receive(v, 5, 0, both, "", 2);
 	CU_ASSERT_EQUAL(mh_fleet_size(f), 2);
-	CU_ASSERT_EQUAL(plat_view_rows_have(v), 5);
+	CU_ASSERT_EQUAL(plat_view_rows_base(v), 5);
 	receive(v, 6, 5, left, "", 2);
 	CU_ASSERT_TRUE(mh_fleet_find(f, "b")->draining);
 	CU_ASSERT_FALSE(mh_fleet_find(f, "a")->draining);
@@ -287,10 +287,10 @@
 	CU_ASSERT_EQUAL(mh_fleet_size(f), 2);
 	receive(v, 9, 8, left, "", 5); /* removed later; wrong count */
 	CU_ASSERT_PTR_NULL(mh_fleet_find(f, "b"));
-	CU_ASSERT_EQUAL(plat_view_rows_have(v), 0);
+	CU_ASSERT_EQUAL(plat_view_rows_base(v), 0);
 	CU_ASSERT_EQUAL(mh_fleet_size(f), 2);
 	receive(v, 10, 0, both, "", 2);
-	CU_ASSERT_EQUAL(plat_view_rows_have(v), 10);
+	CU_ASSERT_EQUAL(plat_view_rows_base(v), 10);
 	CU_ASSERT_PTR_NOT_NULL(mh_fleet_find(f, "b"));
 	text = plat_view_rows_text(v, 5);
 	CU_ASSERT_PTR_NOT_NULL(
@@ -374,7 +374,7 @@
 	CU_ASSERT_PTR_NOT_NULL(mh_fleet_find(r.f, "b"));
 	for (int i = 0; i < 30; i++) {
 		advance(&r, 100 * MS);
-		plat_view_rows_same(r.v, 0); /* a peer has just read it */
+		plat_view_rows_unchanged(r.v, 0); /* a peer has just read it */
 	}
 	CU_ASSERT_PTR_NULL(mh_fleet_find(r.f, "b"));
 	CU_ASSERT_PTR_NOT_NULL(mh_fleet_find(r.f, "a"));
@@ -462,14 +462,14 @@
 	open_view(&r);
 	receive_two(r.v, 5, item_with_start("a", 3, START_MS, "ready"),
 	    item_with_start("b", 4, START_MS, "ready"));
-	plat_view_take_conf(r.v, 6, conf, strlen(conf));
+	plat_view_receive_conf(r.v, 6, conf, strlen(conf));
 	CU_ASSERT_EQUAL(mh_fleet_size(r.f), 0);
 	CU_ASSERT_EQUAL(mh_counter(r.k, "registry_rows_refused"), 2);
 	receive_two(r.v, 7, item_with_start("a", 3, START_MS, "ready"),
 	    item_with_start("b", 4, START_MS, "ready"));
 	CU_ASSERT_EQUAL(mh_fleet_size(r.f), 0);
 	CU_ASSERT_EQUAL(mh_counter(r.k, "registry_rows_refused"), 2);
-	plat_view_take_conf(r.v, 8, both, strlen(both));
+	plat_view_receive_conf(r.v, 8, both, strlen(both));
 	CU_ASSERT_EQUAL(mh_fleet_size(r.f), 2);
 	close_view(&r);
 }
--- a/regress/t_platform_store.c
+++ b/regress/t_platform_store.c
@@ -315,7 +315,7 @@
 	run(&r, 6, false);
 	CU_ASSERT_EQUAL(r.refused, 6);
 	CU_ASSERT_EQUAL(r.refused_first, 6);
-	CU_ASSERT_FALSE(plat_store_away(r.store));
+	CU_ASSERT_FALSE(plat_store_is_down(r.store));
 	finish(&r);
 }
 
@@ -411,7 +411,7 @@
 		GBytes *text;
 
 		run_rig(&r);
-		text = mh_history_latest(plat_view_conf_past(r.view));
+		text = mh_history_latest(plat_view_conf_history(r.view));
 		CU_ASSERT_EQUAL(plat_view_conf_revision(r.view), 3);
 		CU_ASSERT(g_bytes_get_size(text) > 0);
 		finish(&r);
@@ -582,7 +582,7 @@
 receive_list(struct srig *r, uint64_t revision, const char *text)
 {
 	GBytes *b = g_bytes_new(text, strlen(text));
-	bool taken = plat_members_told(r->members, revision, b);
+	bool taken = plat_members_receive(r->members, revision, b);
 
 	g_bytes_unref(b);
 	return taken;
@@ -690,13 +690,13 @@
 	static const char conf[] =
 	    "{\"version\":3,\"routes\":[],\"services\":[]}";
 
-	plat_view_take_conf(r->view, 3, conf, strlen(conf));
+	plat_view_receive_conf(r->view, 3, conf, strlen(conf));
 }
 
 static void
 receive_rows(struct srig *r, uint64_t revision, const char *text)
 {
-	plat_view_take_rows(r->view, revision, text, strlen(text));
+	plat_view_receive_rows(r->view, revision, text, strlen(text));
 }
 
 /* Guards against starts whose calls grow with the number of endpoints. */
--- a/regress/t_slow.c
+++ b/regress/t_slow.c
@@ -256,7 +256,7 @@
 
 		run_rig(&r, t[i].us);
 		CU_ASSERT_TRUE(plat_view_ready(r.view));
-		CU_ASSERT_EQUAL(plat_view_reads(r.view), t[i].reads);
+		CU_ASSERT_EQUAL(plat_view_can_read(r.view), t[i].reads);
 		finish(&r);
 	}
 }
