--- a/lib/entry.c
+++ b/lib/entry.c
@@ -1,6 +1,6 @@
 /**
- * DOC: Callers' requests: rights, rules, limits, feasibility, and the
- * answers.  What happens between admission and answer is in pipe.c.
+ * DOC: Admission of callers' requests (authorisation, rules, limits,
+ * feasibility) and the responses to them.  pipe.c runs the stages between.
  */
 
 #include "entry.h"
@@ -11,9 +11,9 @@
 
 #define MAX_KEY 128
 #define PREFIX_PIPELINES "/v1/pipelines/"
-#define START_BUDGET 10.0
-#define START_US (2 * MH_US_PER_S) /* requests wait for the start this long */
-#define EARLY_US (10 * MH_US_PER_MS)
+#define INITIAL_RETRY_BUDGET 10.0
+#define DEFER_MAX_US (2 * MH_US_PER_S) /* after the start */
+#define DEFER_POLL_US (10 * MH_US_PER_MS)
 
 static struct entry *
 get(struct mh_kern *k)
@@ -53,7 +53,7 @@
 }
 
 static uint32_t
-seconds_up(int64_t us)
+ceil_seconds(int64_t us)
 {
 	return (uint32_t)((us + MH_US_PER_S - 1) / MH_US_PER_S);
 }
@@ -66,45 +66,46 @@
 	snprintf(name, sizeof(name), "entry_problem_%u", p->status);
 	mh_count(e->k, name, 1);
 	entry_reply(e, caller, p->status, entry_dump(problem_json(p)),
-	    p->retry_us > 0 ? seconds_up(p->retry_us) : 0);
+	    p->retry_us > 0 ? ceil_seconds(p->retry_us) : 0);
 }
 
 /*
- * A key that a caller sends may have been asked before, here or at another
- * entry, and may have run.  A refusal that knows only its own request once
- * said "not run" of keys that had, and the caller paid for a second one.
+ * An earlier request with the same key may have run, through this entry or
+ * another.  A refusal that considers only its own request would report "not
+ * run" for such a key, and the caller would run the request a second time.
  */
 static void
-find_asked_key(
-    struct entry *e, const struct mh_request_msg *m, struct asked_key *a)
+find_given_key(
+    struct entry *e, const struct mh_request_msg *m, struct given_key *a)
 {
 	struct mh_decl *d = mh_conf_get(e->k);
 	const struct mh_pipeline *pl = NULL;
 	const char *name = NULL;
 
 	memset(a, 0, sizeof(*a));
-	if (m->idempotency_key == NULL || !entry_good_key(m->idempotency_key))
-		return; /* no such key is ever taken */
+	if (m->idempotency_key == NULL ||
+	    !entry_key_is_valid(m->idempotency_key))
+		return; /* invalid keys are never accepted */
 	if (g_str_has_prefix(m->path, PREFIX_PIPELINES))
 		name = m->path + strlen(PREFIX_PIPELINES);
 	if (d != NULL && name != NULL)
 		pl = mh_decl_pipeline(d, name);
-	if (pl != NULL && !pipe_last(pl)->never)
-		return; /* there keys mean nothing */
+	if (pl != NULL && !pipe_last_stage(pl)->never)
+		return; /* only non-repeatable stages use keys */
 	a->given = true;
 	if (pl != NULL)
 		a->lookup = g_strconcat(
 		    PREFIX_OUTCOMES, name, "/", m->idempotency_key, NULL);
 }
 
-/* Refuses a request that never left here; @p has all but the outcome. */
+/* Refuses a request of which no call was made; sets outcome and lookup. */
 static void
 refuse(struct entry *e, const struct mh_request_msg *m, const struct problem *p)
 {
 	struct problem whole = *p;
-	struct asked_key key;
+	struct given_key key;
 
-	find_asked_key(e, m, &key);
+	find_given_key(e, m, &key);
 	whole.outcome = key.given ? "unknown" : "not-run";
 	whole.lookup = key.lookup;
 	entry_problem(e, m->id, &whole);
@@ -135,7 +136,7 @@
 free_request(struct request *r)
 {
 	pipe_stop(r);
-	mh_timer_stop(r->e->k, &r->deadline);
+	mh_timer_stop(r->e->k, &r->deadline_timer);
 	mh_limit_settle(r->e->k, &r->ticket, r->used_units);
 	mh_flow_clear(&r->flow);
 	json_decref(r->stages);
@@ -169,7 +170,7 @@
 }
 
 static void
-sse(struct request *r, const char *event, json_t *data, bool last)
+send_event(struct request *r, const char *event, json_t *data, bool last)
 {
 	struct mh_msg *m = mh_msg_new(MH_MSG_REPLY);
 	char *text = json_dumps(data, JSON_COMPACT | JSON_SORT_KEYS);
@@ -192,7 +193,7 @@
 	gsize len;
 	const char *data = g_bytes_get_data(text, &len);
 
-	sse(r, "token", json_pack("{s:s%}", "text", data, len), false);
+	send_event(r, "token", json_pack("{s:s%}", "text", data, len), false);
 }
 
 static void
@@ -215,7 +216,7 @@
 	mh_count(r->e->k, "entry_done", 1);
 	log_end(r, "done", 200);
 	if (r->stream)
-		sse(r, "done", o, true);
+		send_event(r, "done", o, true);
 	else
 		entry_reply(r->e, r->caller, 200, entry_dump(o), 0);
 	end_request(r);
@@ -236,10 +237,10 @@
 	mh_count(r->e->k, "entry_failed", 1);
 	log_end(r, p->outcome, p->status);
 	if (r->streaming)
-		sse(r, "problem", o, true);
+		send_event(r, "problem", o, true);
 	else
 		entry_reply(r->e, r->caller, p->status, entry_dump(o),
-		    p->retry_us > 0 ? seconds_up(p->retry_us) : 0);
+		    p->retry_us > 0 ? ceil_seconds(p->retry_us) : 0);
 	end_request(r);
 }
 
@@ -265,7 +266,7 @@
 }
 
 bool
-entry_good_key(const char *key)
+entry_key_is_valid(const char *key)
 {
 	size_t len = strlen(key);
 
@@ -311,9 +312,9 @@
 }
 
 static bool
-decide(struct entry *e, const struct mh_request_msg *m, struct request *r)
+apply_rules(struct entry *e, const struct mh_request_msg *m, struct request *r)
 {
-	struct mh_ask ask = { .org = r->org->name,
+	struct mh_ask in = { .org = r->org->name,
 		.pipeline = m->path + strlen(PREFIX_PIPELINES),
 		.class_asked = m->class_asked,
 		.labels = m->labels,
@@ -321,9 +322,9 @@
 		.deadline_us = m->deadline_us };
 	const struct mh_stage *s;
 
-	ask.model = json_string_value(json_object_get(r->flow.input, "model"));
-	mh_rules_decide(r->decl, &ask, &r->d);
-	r->d.deadline_us = entry_time_us(e, r->d.deadline_us);
+	in.model = json_string_value(json_object_get(r->flow.input, "model"));
+	mh_rules_decide(r->decl, &in, &r->d);
+	r->d.deadline_us = entry_cap_us(e, r->d.deadline_us);
 	r->deadline_us = r->arrived_us + r->d.deadline_us;
 	if (r->d.pipeline == NULL) {
 		entry_refuse(e, m, 404, "no-pipeline",
@@ -348,24 +349,24 @@
 	if (r->d.max_tokens > 0)
 		r->max_tokens = MIN(r->max_tokens, r->d.max_tokens);
 	r->max_tokens = MAX(r->max_tokens, 1);
-	s = pipe_last(r->d.pipeline);
+	s = pipe_last_stage(r->d.pipeline);
 	r->stream = r->stream && s->kind == MH_GENERATE;
 	return true;
 }
 
 static bool
-take_key(struct entry *e, const struct mh_request_msg *m, struct request *r)
+set_key(struct entry *e, const struct mh_request_msg *m, struct request *r)
 {
 	if (m->idempotency_key == NULL)
 		return true;
-	if (!entry_good_key(m->idempotency_key)) {
+	if (!entry_key_is_valid(m->idempotency_key)) {
 		entry_refuse(e, m, 400, "bad-key",
 		    "Idempotency-Key is not 1 to 128 printable characters "
 		    "without a slash.",
 		    "Send a UUID version 7.");
 		return false;
 	}
-	if (!pipe_last(r->d.pipeline)->never)
+	if (!pipe_last_stage(r->d.pipeline)->never)
 		return true;
 	r->key = g_strconcat(r->org->name, "/", m->idempotency_key, NULL);
 	r->key_given = true;
@@ -374,7 +375,7 @@
 }
 
 static bool
-take_limits(struct entry *e, const struct mh_request_msg *m,
+reserve_limits(struct entry *e, const struct mh_request_msg *m,
     const struct mh_key_owner *who, struct request *r)
 {
 	struct problem p = { .status = 429,
@@ -396,9 +397,10 @@
 	return false;
 }
 
-/* What cannot finish in time is refused at once: 503, and when to ask. */
+/* Refuses a request that is predicted to miss its deadline. */
 static bool
-feasible(struct entry *e, const struct mh_request_msg *m, struct request *r)
+check_feasible(
+    struct entry *e, const struct mh_request_msg *m, struct request *r)
 {
 	struct problem p = { .status = 503,
 		.kind = "overloaded",
@@ -413,8 +415,8 @@
 	if (over <= 0)
 		return true;
 	mh_count(e->k, "entry_infeasible", 1);
-	if (entry_ends(r)) {
-		refuse(e, m, &entry_leaving);
+	if (entry_cut_by_drain(r)) {
+		refuse(e, m, &entry_draining_problem);
 		return false;
 	}
 	over = MAX(over, MH_US_PER_S);
@@ -423,7 +425,7 @@
 	return false;
 }
 
-/* Requests with one context meet one prefix cache. */
+/* Requests with the same context go to the same prefix cache; 0: any. */
 static uint64_t
 affinity_of(const struct request *r)
 {
@@ -435,7 +437,7 @@
 	return mh_hash(c, strlen(c)) | 1;
 }
 
-/* What is asked, whoever carries it and under whatever key. */
+/* Covers organisation, path and body, but neither kind of key. */
 static uint64_t
 fingerprint(const struct mh_request_msg *m, const struct mh_org *org)
 {
@@ -447,9 +449,10 @@
 	return mh_poison_print(of, G_N_ELEMENTS(of));
 }
 
-/* Endpoints end under it: it is refused before it costs one more. */
+/* Refuses a quarantined request: it could crash another endpoint. */
 static bool
-not_held(struct entry *e, const struct mh_request_msg *m, struct request *r)
+check_quarantine(
+    struct entry *e, const struct mh_request_msg *m, struct request *r)
 {
 	struct problem p = { .status = 503,
 		.kind = "request-held",
@@ -467,7 +470,7 @@
 }
 
 void
-mh_entry_held(struct mh_kern *k, uint64_t print)
+mh_entry_held(struct mh_kern *k, uint64_t fingerprint)
 {
 	struct entry *e = get(k);
 	GList *all = g_hash_table_get_values(e->requests);
@@ -475,8 +478,8 @@
 	for (GList *l = all; l != NULL; l = l->next) {
 		struct request *r = l->data;
 
-		if (r->print == print)
-			pipe_held(r);
+		if (r->print == fingerprint)
+			pipe_quarantine(r);
 	}
 	g_list_free(all);
 }
@@ -492,8 +495,9 @@
 	r->arrived_us = mh_now(e->k);
 	mh_uuid7(e->k, r->id);
 	r->id_text = mh_uuid_text(r->id);
-	return read_input(e, m, r) && decide(e, m, r) && take_key(e, m, r) &&
-	    not_held(e, m, r) && feasible(e, m, r) && take_limits(e, m, who, r);
+	return read_input(e, m, r) && apply_rules(e, m, r) &&
+	    set_key(e, m, r) && check_quarantine(e, m, r) &&
+	    check_feasible(e, m, r) && reserve_limits(e, m, who, r);
 }
 
 static void
@@ -515,23 +519,23 @@
 }
 
 static bool
-settled(struct entry *e)
+is_started(struct entry *e)
 {
 	return mh_conf_get(e->k) != NULL && mh_member_has_list(e->k) &&
 	    mh_member_links(e->k) > 0;
 }
 
-/* Not longer than the start may take, nor than this entry is there. */
+/* Whether a request may wait any longer for the entry to start. */
 static bool
-may_wait(const struct entry *e)
+may_defer(const struct entry *e)
 {
-	int64_t left = e->started_us + START_US - mh_now(e->k);
+	int64_t wait = e->started_us + DEFER_MAX_US - mh_now(e->k);
 
-	return entry_time_us(e, left) > 0;
+	return entry_cap_us(e, wait) > 0;
 }
 
 static void
-free_early(struct early *x)
+free_deferred(struct deferred *x)
 {
 	mh_timer_stop(x->e->k, &x->timer);
 	if (x->msg != NULL)
@@ -540,40 +544,41 @@
 }
 
 static void
-on_early(void *arg)
+on_defer_poll(void *arg)
 {
-	struct early *x = arg;
+	struct deferred *x = arg;
 	struct entry *e = x->e;
 
 	x->timer = NULL;
-	if (!settled(e) && may_wait(e)) {
-		x->timer = mh_timer_start(e->k, EARLY_US, on_early, x);
+	if (!is_started(e) && may_defer(e)) {
+		x->timer =
+		    mh_timer_start(e->k, DEFER_POLL_US, on_defer_poll, x);
 		return;
 	}
 	mh_post(e->k, "entry", x->msg);
 	x->msg = NULL;
-	g_ptr_array_remove(e->early, x);
+	g_ptr_array_remove(e->deferred, x);
 }
 
 /*
- * A restarted entry gets requests before it has its configuration and its
- * links: the balancer knows only that the port answers.  For a moment after
- * the start they wait for both instead of being refused.
+ * A load balancer sends requests as soon as the port accepts connections,
+ * before the entry has its configuration and its links.  For a short time
+ * after the start these requests wait for both instead of being refused.
  */
 static bool
-hold_early(struct entry *e, struct mh_msg *m)
+defer_request(struct entry *e, struct mh_msg *m)
 {
-	struct early *x;
+	struct deferred *x;
 
-	if (settled(e) || !may_wait(e))
+	if (is_started(e) || !may_defer(e))
 		return false;
-	x = g_new0(struct early, 1);
+	x = g_new0(struct deferred, 1);
 	x->e = e;
 	x->msg = mh_msg_new(m->kind);
 	x->msg->u.request = m->u.request;
 	memset(&m->u.request, 0, sizeof(m->u.request));
-	x->timer = mh_timer_start(e->k, EARLY_US, on_early, x);
-	g_ptr_array_add(e->early, x);
+	x->timer = mh_timer_start(e->k, DEFER_POLL_US, on_defer_poll, x);
+	g_ptr_array_add(e->deferred, x);
 	return true;
 }
 
@@ -586,7 +591,7 @@
 	bool del = strcmp(m->method, "DELETE") == 0;
 
 	if (d == NULL && e->draining) {
-		refuse(e, m, &entry_leaving);
+		refuse(e, m, &entry_draining_problem);
 		return;
 	}
 	if (d == NULL) {
@@ -603,7 +608,7 @@
 		return;
 	}
 	if (g_str_has_prefix(m->path, PREFIX_OUTCOMES) && !post) {
-		outcome_ask(e, m, who, del);
+		outcome_request(e, m, who, del);
 		return;
 	}
 	if (!g_str_has_prefix(m->path, PREFIX_PIPELINES) || !post) {
@@ -622,14 +627,14 @@
 
 	switch (m->kind) {
 	case MH_MSG_REQUEST:
-		if (!hold_early(e, m))
+		if (!defer_request(e, m))
 			dispatch(e, &m->u.request);
 		break;
 	case MH_MSG_GONE:
 		r = g_hash_table_lookup(e->requests, &m->u.request.id);
 		if (r == NULL)
 			break;
-		/* Nobody waits: cancel down to the engine. */
+		/* The caller has disconnected: cancel down to the engine. */
 		mh_count(e->k, "entry_callers_gone", 1);
 		end_request(r);
 		break;
@@ -650,7 +655,7 @@
 {
 	struct entry *e = get(k);
 
-	return g_hash_table_size(e->requests) + e->early->len +
+	return g_hash_table_size(e->requests) + e->deferred->len +
 	    g_hash_table_size(e->lookups);
 }
 
@@ -673,7 +678,7 @@
 
 	return json_pack("{s:b, s:i, s:i, s:f, s:o}", "draining", e->draining,
 	    "requests", (int)g_hash_table_size(e->requests), "calls",
-	    (int)mh_relay_open(k), "retry_budget", e->budget, "evacuated",
+	    (int)mh_relay_open(k), "retry_budget", e->retry_budget, "evacuated",
 	    evacuated_state(k));
 }
 
@@ -689,7 +694,7 @@
 		g_hash_table_iter_steal(&it);
 		free_request(r);
 	}
-	g_ptr_array_unref(e->early);
+	g_ptr_array_unref(e->deferred);
 	g_hash_table_destroy(e->requests);
 	g_hash_table_destroy(e->owners);
 	g_hash_table_destroy(e->lookups);
@@ -715,9 +720,10 @@
 	e->k = k;
 	e->vm = g_strdup(vm);
 	e->domain = g_strdup(domain);
-	e->budget = START_BUDGET;
+	e->retry_budget = INITIAL_RETRY_BUDGET;
 	e->started_us = mh_now(k);
-	e->early = g_ptr_array_new_with_free_func((GDestroyNotify)free_early);
+	e->deferred =
+	    g_ptr_array_new_with_free_func((GDestroyNotify)free_deferred);
 	e->requests = g_hash_table_new(g_int64_hash, g_int64_equal);
 	e->owners = g_hash_table_new_full(
 	    g_str_hash, g_str_equal, g_free, (GDestroyNotify)mh_owners_destroy);
@@ -725,5 +731,5 @@
 	    g_int64_hash, g_int64_equal, NULL, outcome_free);
 	mh_kern_add(k, "entry", e, handle, destroy);
 	mh_hub_on(k, MH__FRAME__BODY_OWNERS, on_owners, e);
-	mh_hub_on(k, MH__FRAME__BODY_OUTCOMES, outcome_take, e);
+	mh_hub_on(k, MH__FRAME__BODY_OUTCOMES, outcome_receive, e);
 }
--- a/lib/limit.c
+++ b/lib/limit.c
@@ -1,12 +1,16 @@
 /**
- * DOC: Organisation and key limits in weighted tokens, over all entries.
+ * DOC: Rate limits of organisations and keys in weighted tokens.
  *
- * Reserve on admission, settle on usage (as in "Rate Limiting for LLM
- * Endpoints", section "Admission at the gateway").  The organisation's rate
- * is handed out by a home entry in short grants sized by demand.  With the
- * home unreachable an entry falls back to an equal share of the rate, which
- * cannot exceed the declared limit in total; the paper weighs failing open
- * against closed, and this is its "conservative local caps".
+ * An organisation's limit holds over all entries together; each entry applies
+ * a key's limit by itself.
+ *
+ * Units are reserved on admission and settled by usage (as in "Rate Limiting
+ * for LLM Endpoints", section "Admission at the gateway").  One entry, the
+ * organisation's coordinator, grants parts of the organisation's rate for a
+ * short time, sized by demand.  Without a valid grant, as when the coordinator
+ * is unreachable, an entry uses an equal share of the rate.  Equal shares do
+ * not exceed the declared limit in total; the paper, which weighs failing open
+ * against failing closed, calls this "conservative local caps".
  */
 
 #include "marlhoist.h"
@@ -15,35 +19,38 @@
 #include <string.h>
 
 #define TICK_US (250 * MH_US_PER_MS)
-#define GRANT_US (1 * MH_US_PER_S)
-#define ASKS 4 /* at most a tick: bounds the bytes that grants cost */
-#define DEMAND_GAIN 0.3
+#define GRANT_TTL_US (1 * MH_US_PER_S)
+#define MAX_GRANT_REQUESTS 4 /* per tick, to limit control traffic */
+#define DEMAND_GAIN 0.3 /* of the moving average, per tick */
 
+/** struct bucket - a token bucket in units, and the active streams. */
 struct bucket {
 	double level;
 	double rate;
 	double cap;
-	int64_t at_us;
+	int64_t refilled_us;
 	uint32_t streams;
 };
 
+/** struct grant - the rate granted to this entry, in units a second. */
 struct grant {
 	double rate;
-	int64_t until_us;
+	int64_t expires_us;
 };
 
-struct asker {
+/** struct requester - an entry's demand, as known to the coordinator. */
+struct requester {
 	double demand;
-	int64_t until_us;
+	int64_t expires_us;
 };
 
 struct org {
 	char *name;
 	struct bucket b;
 	struct grant grant;
-	double asked; /* units asked for since the last tick */
+	double requested; /* units requested since the last tick */
 	double demand; /* units a second, smoothed */
-	GHashTable *askers; /* entry vm -> struct asker; on the home */
+	GHashTable *requesters; /* on the coordinator: VM -> struct requester */
 };
 
 struct limit {
@@ -51,7 +58,7 @@
 	char *vm;
 	GHashTable *orgs; /* name -> struct org */
 	GHashTable *keys; /* key hash -> struct bucket */
-	GQueue turn; /* organisations, the next to ask for first */
+	GQueue grant_queue; /* organisations in round-robin order */
 	struct mh_timer *tick;
 };
 
@@ -60,7 +67,7 @@
 {
 	struct org *o = arg;
 
-	g_hash_table_destroy(o->askers);
+	g_hash_table_destroy(o->requesters);
 	g_free(o->name);
 	g_free(o);
 }
@@ -74,18 +81,18 @@
 		return o;
 	o = g_new0(struct org, 1);
 	o->name = g_strdup(name);
-	o->askers =
+	o->requesters =
 	    g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-	o->b.at_us = -1;
+	o->b.refilled_us = -1;
 	g_hash_table_insert(l->orgs, o->name, o);
-	g_queue_push_tail(&l->turn, o);
+	g_queue_push_tail(&l->grant_queue, o);
 	return o;
 }
 
 static double
-share(struct limit *l, struct org *o, double rate)
+entry_rate(struct limit *l, struct org *o, double rate)
 {
-	if (o->grant.until_us > mh_now(l->k))
+	if (o->grant.expires_us > mh_now(l->k))
 		return o->grant.rate;
 	return rate / (double)mh_member_entries(l->k);
 }
@@ -95,11 +102,11 @@
 {
 	int64_t now = mh_now(l->k);
 
-	if (b->at_us < 0)
+	if (b->refilled_us < 0)
 		b->level = cap;
 	else
-		b->level += rate * (double)(now - b->at_us) / MH_US_PER_S;
-	b->at_us = now;
+		b->level += rate * (double)(now - b->refilled_us) / MH_US_PER_S;
+	b->refilled_us = now;
 	b->rate = rate;
 	b->cap = cap;
 	b->level = MIN(b->level, cap);
@@ -124,7 +131,7 @@
 
 	if (b == NULL) {
 		b = g_new0(struct bucket, 1);
-		b->at_us = -1;
+		b->refilled_us = -1;
 		g_hash_table_insert(l->keys, g_strdup(key->hash_hex), b);
 	}
 	refill(l, b, key->units_per_s, key->units_per_s * 2);
@@ -153,8 +160,8 @@
 	if (org->units_per_s > 0) {
 		if (units > org->burst_units)
 			return -1;
-		o->asked += units;
-		refill(l, &o->b, share(l, o, org->units_per_s),
+		o->requested += units;
+		refill(l, &o->b, entry_rate(l, o, org->units_per_s),
 		    org->burst_units / (double)mh_member_entries(k) + units);
 		wait = wait_us(&o->b, units);
 	}
@@ -192,8 +199,8 @@
 		return;
 	o = org_of(l, t->org);
 	o->b.level = MIN(o->b.cap, o->b.level + t->units - used);
-	/* What was reserved and not used is no demand either. */
-	o->asked = MAX(0, o->asked - MAX(0, t->units - used));
+	/* Units that were reserved but not used are no demand. */
+	o->requested = MAX(0, o->requested - MAX(0, t->units - used));
 	if (o->b.streams > 0)
 		o->b.streams--;
 	if (t->has_key) {
@@ -206,64 +213,65 @@
 }
 
 /*
- * The home's answer: everybody gets what it asks for while that fits, the
- * rest is split evenly; if it does not fit, all shrink alike.
+ * The rate that the coordinator grants to @vm.  While the total demand fits
+ * into the rate, each entry gets its demand and an equal part of the rest;
+ * otherwise all demands are scaled down by the same factor.
  */
 static double
 allot(
     struct limit *l, struct org *o, const char *vm, double demand, double rate)
 {
-	struct asker *a = g_hash_table_lookup(o->askers, vm);
+	struct requester *a = g_hash_table_lookup(o->requesters, vm);
 	double total = 0;
 	GHashTableIter it;
 	gpointer v;
 	guint n;
 
 	if (a == NULL) {
-		a = g_new0(struct asker, 1);
-		g_hash_table_insert(o->askers, g_strdup(vm), a);
+		a = g_new0(struct requester, 1);
+		g_hash_table_insert(o->requesters, g_strdup(vm), a);
 	}
 	a->demand = demand;
-	a->until_us = mh_now(l->k) + GRANT_US;
-	g_hash_table_iter_init(&it, o->askers);
+	a->expires_us = mh_now(l->k) + GRANT_TTL_US;
+	g_hash_table_iter_init(&it, o->requesters);
 	while (g_hash_table_iter_next(&it, NULL, &v)) {
-		if (((struct asker *)v)->until_us < mh_now(l->k))
+		if (((struct requester *)v)->expires_us < mh_now(l->k))
 			g_hash_table_iter_remove(&it);
 		else
-			total += ((struct asker *)v)->demand;
+			total += ((struct requester *)v)->demand;
 	}
-	n = MAX(g_hash_table_size(o->askers), 1U);
+	n = MAX(g_hash_table_size(o->requesters), 1U);
 	if (total > rate)
 		return rate * demand / total;
 	return demand + (rate - total) / (double)n;
 }
 
 static void
-ask_home(struct limit *l, struct org *o, const struct mh_org *decl)
+request_grant(struct limit *l, struct org *o, const struct mh_org *decl)
 {
-	const char *home = mh_member_home(l->k, o->name);
+	const char *coord = mh_member_home(l->k, o->name);
 	Mh__Frame f = MH__FRAME__INIT;
-	Mh__GrantAsk ask = MH__GRANT_ASK__INIT;
+	Mh__GrantAsk req = MH__GRANT_ASK__INIT;
 	struct mh_peer *p;
 
-	if (home == NULL)
+	if (coord == NULL)
 		return;
-	if (strcmp(home, l->vm) == 0) {
+	if (strcmp(coord, l->vm) == 0) {
 		o->grant.rate =
 		    allot(l, o, l->vm, o->demand, decl->units_per_s);
-		o->grant.until_us = mh_now(l->k) + GRANT_US;
+		o->grant.expires_us = mh_now(l->k) + GRANT_TTL_US;
 		return;
 	}
-	p = mh_member_find(l->k, home);
+	p = mh_member_find(l->k, coord);
 	if (p == NULL)
 		return;
 	mh_member_dial(l->k, p);
 	if (!p->up)
 		return;
-	ask.org = o->name;
-	ask.demand = (uint64_t)o->demand;
+	req.org = o->name;
+	req.demand = (uint64_t)o->demand;
 	f.body_case = MH__FRAME__BODY_GRANT_ASK;
-	f.grant_ask = &ask;
+	f.grant_ask = &req;
 	mh_frame_send(l->k, p->conn, &f);
 	mh_count(l->k, "limit_grants_asked", 1);
 }
@@ -272,45 +280,46 @@
 smooth_demand(gpointer name, gpointer value, gpointer arg)
 {
 	struct org *o = value;
-	double now = o->asked * MH_US_PER_S / TICK_US;
+	double rate = o->requested * MH_US_PER_S / TICK_US;
 
 	(void)name;
 	(void)arg;
-	o->demand += DEMAND_GAIN * (now - o->demand);
-	o->asked = 0;
+	o->demand += DEMAND_GAIN * (rate - o->demand);
+	o->requested = 0;
 }
 
 /*
- * Organisations take turns to ask.  With more of them than turns a grant
- * lapses before the next, and the equal share holds in between: less is
- * served under skew, never more than the declared rate.
+ * Requests grants for the organisations in round-robin order.  If there are
+ * more of them than requests in the lifetime of a grant, a grant expires
+ * before its renewal and the equal share applies in between: with uneven load
+ * less is served than could be, and equal shares never exceed the rate.
  */
 static void
 on_tick(void *arg)
 {
 	struct limit *l = arg;
 	struct mh_decl *d = mh_conf_get(l->k);
-	guint asks = 0;
+	guint sent = 0;
 
 	l->tick = mh_timer_start(l->k, TICK_US, on_tick, l);
 	if (d == NULL)
 		return;
 	g_hash_table_foreach(l->orgs, smooth_demand, NULL);
-	for (guint n = g_queue_get_length(&l->turn); n > 0 && asks < ASKS;
-	     n--) {
-		struct org *o = g_queue_pop_head(&l->turn);
+	for (guint n = g_queue_get_length(&l->grant_queue);
+	     n > 0 && sent < MAX_GRANT_REQUESTS; n--) {
+		struct org *o = g_queue_pop_head(&l->grant_queue);
 		const struct mh_org *decl = mh_decl_org(d, o->name);
 
-		g_queue_push_tail(&l->turn, o);
+		g_queue_push_tail(&l->grant_queue, o);
 		if (decl == NULL || decl->units_per_s <= 0 || o->demand <= 1)
 			continue;
-		ask_home(l, o, decl);
-		asks++;
+		request_grant(l, o, decl);
+		sent++;
 	}
 }
 
 static void
-on_grant_ask(void *arg, uint64_t conn, const Mh__Frame *in)
+on_grant_request(void *arg, uint64_t conn, const Mh__Frame *in)
 {
 	struct limit *l = arg;
 	struct mh_peer *from = mh_member_conn(l->k, conn);
@@ -325,7 +334,7 @@
 	g.org = in->grant_ask->org;
 	g.units_per_s = (uint64_t)allot(l, org_of(l, decl->name), from->vm,
 	    (double)in->grant_ask->demand, decl->units_per_s);
-	g.for_us = GRANT_US;
+	g.for_us = GRANT_TTL_US;
 	f.body_case = MH__FRAME__BODY_GRANT;
 	f.grant = &g;
 	mh_frame_send(l->k, conn, &f);
@@ -341,8 +350,8 @@
 	if (o == NULL)
 		return;
 	o->grant.rate = (double)f->grant->units_per_s;
-	o->grant.until_us =
-	    mh_now(l->k) + (int64_t)MIN(f->grant->for_us, GRANT_US);
+	o->grant.expires_us =
+	    mh_now(l->k) + (int64_t)MIN(f->grant->for_us, GRANT_TTL_US);
 }
 
 json_t *
@@ -371,7 +380,7 @@
 	struct limit *l = self;
 
 	mh_timer_stop(l->k, &l->tick);
-	g_queue_clear(&l->turn);
+	g_queue_clear(&l->grant_queue);
 	g_hash_table_destroy(l->orgs);
 	g_hash_table_destroy(l->keys);
 	g_free(l->vm);
@@ -387,11 +396,11 @@
 	l->vm = g_strdup(vm);
 	l->orgs =
 	    g_hash_table_new_full(g_str_hash, g_str_equal, NULL, free_org);
-	g_queue_init(&l->turn);
+	g_queue_init(&l->grant_queue);
 	l->keys =
 	    g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 	mh_kern_add(k, "limit", l, NULL, destroy);
-	mh_hub_on(k, MH__FRAME__BODY_GRANT_ASK, on_grant_ask, l);
+	mh_hub_on(k, MH__FRAME__BODY_GRANT_ASK, on_grant_request, l);
 	mh_hub_on(k, MH__FRAME__BODY_GRANT, on_grant, l);
 	l->tick = mh_timer_start(k, TICK_US, on_tick, l);
 }
--- a/lib/marlhoist.h
+++ b/lib/marlhoist.h
@@ -474,7 +474,7 @@
 
 /* rules.c */
 
-/** struct mh_ask - what the rules look at. */
+/** struct mh_ask - the properties of a request that rules match. */
 struct mh_ask {
 	const char *org;
 	const char *pipeline;
@@ -497,9 +497,9 @@
 };
 
 void mh_rules_decide(
-    const struct mh_decl *d, const struct mh_ask *ask, struct mh_decision *out);
-/** mh_rules_explain() - one line a rule: why it matched or did not. */
-char *mh_rules_explain(const struct mh_decl *d, const struct mh_ask *ask);
+    const struct mh_decl *d, const struct mh_ask *in, struct mh_decision *out);
+/** mh_rules_explain() - a line per rule up to the first match; g_free() it. */
+char *mh_rules_explain(const struct mh_decl *d, const struct mh_ask *in);
 
 /* conf.c: service "conf" */
 
@@ -702,7 +702,7 @@
 	uint32_t attempt;
 	uint32_t kind;
 	uint32_t priority;
-	int64_t left_us;
+	int64_t remaining_us; /* until the call's deadline */
 	const char *org;
 	uint32_t org_weight;
 	uint64_t units;
@@ -710,19 +710,19 @@
 	const char *path;
 	GBytes *body;
 	bool stream;
-	bool never;
+	bool at_most_once;
 	const char *key;
 	uint32_t partition;
 	uint64_t epoch;
 	uint32_t out_tokens;
-	uint64_t print; /* of the caller's request, see poison.h */
+	uint64_t fingerprint; /* of the caller's request, see poison.h */
 };
 
 /** struct mh_call_event - a chunk (result NULL) or the end of a call. */
 struct mh_call_event {
 	GBytes *chunk;
 	const Mh__Result *result;
-	bool lost; /* the peer went: result tells what that means */
+	bool lost; /* no result came; the relay set the outcome */
 	struct mh_peer *peer;
 };
 
@@ -730,11 +730,13 @@
     void *arg, struct mh_call *c, const struct mh_call_event *ev);
 
 void mh_relay_create(struct mh_kern *k);
+/** mh_relay_start() - sends a call; freed after @fn got its end. */
 struct mh_call *mh_relay_start(struct mh_kern *k, struct mh_peer *p,
     const struct mh_call_args *a, mh_call_fn fn, void *arg);
-/** mh_relay_cancel() - no event follows; the side process is told. */
+/** mh_relay_cancel() - cancels and frees @c; no event follows. */
 void mh_relay_cancel(struct mh_kern *k, struct mh_call *c);
 struct mh_peer *mh_call_peer(const struct mh_call *c);
+/** mh_relay_open() - number of calls in flight. */
 uint32_t mh_relay_open(struct mh_kern *k);
 
 /* owner.c: the owners' table, on entries and side processes */
@@ -768,7 +770,7 @@
 
 /* limit.c: service "limit" */
 
-/** struct mh_limit_ticket - what one admitted request holds. */
+/** struct mh_limit_ticket - what is reserved for an admitted request. */
 struct mh_limit_ticket {
 	char *org;
 	const void *key;
@@ -781,32 +783,33 @@
 /**
  * mh_limit_take() - reserves @units and a stream.
  *
- * Return: 0 when taken, else microseconds until it may be, or -1 when it
- * can never fit.
+ * Return: 0 if reserved, the microseconds to wait before a retry, or -1 if
+ * @units are more than the limits can ever allow.
  */
 int64_t mh_limit_take(struct mh_kern *k, const struct mh_key_owner *who,
     double units, struct mh_limit_ticket *t);
-/** mh_limit_settle() - gives back what was not used and the stream. */
+/** mh_limit_settle() - returns the unused units and the stream; clears @t. */
 void mh_limit_settle(struct mh_kern *k, struct mh_limit_ticket *t, double used);
 json_t *mh_limit_state(struct mh_kern *k);
 
 /* stage.c */
 
-/** struct mh_flow - what passes from stage to stage of one request. */
+/** struct mh_flow - data passed between the stages of one request. */
 struct mh_flow {
 	json_t *input; /* the caller's document */
 	json_t *embedding;
 	json_t *documents;
 	GString *text; /* generated so far */
-	json_t *answer; /* the last stage's document */
+	json_t *answer; /* result of the last stage that ended */
 	uint32_t priority; /* of the request's class, for engines */
 };
 
-/** mh_stage_body() - the body of a stage's call. */
+/** mh_stage_body() - builds the body of a stage's call. */
 GBytes *mh_stage_body(const struct mh_stage *s, const struct mh_flow *f,
     const char *model, uint32_t max_tokens, uint32_t done_tokens);
-/** mh_stage_take() - takes a stage's result; false when it is not whole. */
-bool mh_stage_take(const struct mh_stage *s, struct mh_flow *f, GBytes *result);
+/** mh_stage_read_result() - parses a result into @f; false: malformed. */
+bool mh_stage_read_result(
+    const struct mh_stage *s, struct mh_flow *f, GBytes *result);
 const char *mh_stage_path(const struct mh_stage *s);
 const char *mh_stage_kind(uint32_t kind);
 void mh_flow_clear(struct mh_flow *f);
@@ -815,15 +818,15 @@
 
 void mh_entry_create(struct mh_kern *k, const char *vm, const char *domain);
 /**
- * mh_entry_drain() - tell the peers that this entry leaves.  Requests that
- * still arrive on open connections are served: a balancer needs a moment.
+ * mh_entry_drain() - announces to the peers that this entry is draining.
  *
- * The process is killed @grace_us later, MH_GRACE_MIN_S at least: before
- * that every request has its answer.
+ * Requests that still arrive on open connections are served, since a load
+ * balancer takes a moment to react.  Every request is answered before the
+ * process is killed, @grace_us from now (MH_GRACE_MIN_S or more).
  */
 void mh_entry_drain(struct mh_kern *k, int64_t grace_us);
 bool mh_entry_draining(struct mh_kern *k);
-/** mh_entry_open() - callers who wait for an answer of the entry. */
+/** mh_entry_open() - number of callers that wait for a response. */
 uint32_t mh_entry_open(struct mh_kern *k);
 json_t *mh_entry_state(struct mh_kern *k);
 
--- a/lib/outcome.c
+++ b/lib/outcome.c
@@ -1,6 +1,6 @@
 /**
- * DOC: Callers' questions about non-repeatable requests: look an outcome up,
- * or revoke what did not run yet, at the key's owner.
+ * DOC: Lookup of the outcome of a non-repeatable request, and revocation of
+ * one that has not run, at the owner of its key.
  */
 
 #include "entry.h"
@@ -9,7 +9,7 @@
 
 #define LOOKUP_US (1 * MH_US_PER_S)
 
-/* A question that nobody answers says nothing of the key that it is about. */
+/* A failed lookup says nothing about the key: its outcome is "unknown". */
 static void
 refuse_lookup(struct entry *e, uint64_t caller, uint32_t status,
     const char *kind, const char *detail, const char *remedy)
@@ -62,7 +62,7 @@
 }
 
 void
-outcome_take(void *arg, uint64_t conn, const Mh__Frame *f)
+outcome_receive(void *arg, uint64_t conn, const Mh__Frame *f)
 {
 	struct entry *e = arg;
 	const Mh__Outcomes *o = f->outcomes;
@@ -93,7 +93,7 @@
 	l->token = mh_next_id(e->k);
 	l->caller = caller;
 	l->timer = mh_timer_start(
-	    e->k, entry_time_us(e, LOOKUP_US), on_lookup_timeout, l);
+	    e->k, entry_cap_us(e, LOOKUP_US), on_lookup_timeout, l);
 	g_hash_table_insert(e->lookups, &l->token, l);
 	m.token = l->token;
 	m.key = (char *)(uintptr_t)key;
@@ -104,9 +104,9 @@
 	mh_frame_send(e->k, p->conn, &f);
 }
 
-/* GET looks an outcome up, DELETE revokes what did not run yet. */
+/* GET looks the outcome up, DELETE revokes a request that has not run. */
 void
-outcome_ask(struct entry *e, const struct mh_request_msg *m,
+outcome_request(struct entry *e, const struct mh_request_msg *m,
     const struct mh_key_owner *who, bool revoke)
 {
 	char **part = g_strsplit(m->path + strlen(PREFIX_OUTCOMES), "/", 2);
@@ -116,16 +116,16 @@
 	struct mh_peer *p;
 	char *key;
 
-	if (part[0] != NULL && part[1] != NULL && entry_good_key(part[1]))
+	if (part[0] != NULL && part[1] != NULL && entry_key_is_valid(part[1]))
 		pl = mh_decl_pipeline(mh_conf_get(e->k), part[0]);
-	if (pl == NULL || !pipe_last(pl)->never) {
+	if (pl == NULL || !pipe_last_stage(pl)->never) {
 		refuse_lookup(e, m->id, 404, "no-outcome",
 		    "The path names no pipeline with a non-repeatable stage.",
 		    "Use /v1/outcomes/PIPELINE/KEY.");
 		g_strfreev(part);
 		return;
 	}
-	s = pipe_last(pl);
+	s = pipe_last_stage(pl);
 	key = g_strconcat(who->org->name, "/", part[1], NULL);
 	owner = mh_owners_part(entry_owners(e, s->pool), mh_partition_of(key));
 	p = mh_member_find(e->k, owner->vm);
--- a/lib/pipe.c
+++ b/lib/pipe.c
@@ -1,6 +1,6 @@
 /**
- * DOC: A request's way through its stages: budgets from one deadline,
- * attempts, retries, hedges and the rescue of slow streams.
+ * DOC: Runs a request through its stages: time budgets from one deadline,
+ * calls, retries, hedges and the failover of slow streams.
  */
 
 #include "entry.h"
@@ -9,22 +9,22 @@
 
 #include <string.h>
 
-#define MAX_PICKS 4 /* endpoints asked for one stage */
-#define HEDGE_DEVS 4
+#define MAX_PICKS 4 /* calls made for one stage */
+#define HEDGE_DEVS 4 /* mean deviations above the predicted time */
 #define HEDGE_MIN_US (15 * MH_US_PER_MS)
-#define PACE_US (150 * MH_US_PER_MS) /* between two checks of a stream */
-#define FIRST_FACTOR 4
-#define FIRST_MIN_US (300 * MH_US_PER_MS)
-#define RESCUE_SHARE 0.8 /* a rescue must fit well into what is left */
-#define BUDGET_MAX 20.0
+#define PACE_CHECK_US (150 * MH_US_PER_MS) /* checks of a stream's pace */
+#define FIRST_CHUNK_FACTOR 4
+#define FIRST_CHUNK_MIN_US (300 * MH_US_PER_MS)
+#define FAILOVER_SHARE 0.8 /* of the remaining time that failover may need */
+#define MAX_RETRY_BUDGET 20.0
 #define BYTES_PER_TOKEN 4
-#define MOVE_WAIT_US (50 * MH_US_PER_MS) /* a partition is changing hands */
+#define HANDOVER_WAIT_US (50 * MH_US_PER_MS) /* until the next retry */
 /*
- * A side process that is started again has its partitions back in this time.
- * One that is silent for longer while its VM is listed may stay so for hours.
+ * A restarted side process has its partitions back within this time.  One that
+ * is silent for longer while its VM is listed may stay silent for hours.
  */
-#define OWNER_BACK_US (2 * MH_US_PER_S)
-#define NEVER_MARGIN_US (30 * MH_US_PER_MS)
+#define OWNER_RESTART_US (2 * MH_US_PER_S)
+#define REFUSAL_MARGIN_US (30 * MH_US_PER_MS)
 
 static void next_try(struct request *r, bool hedge);
 static void start_stage(struct request *r);
@@ -36,7 +36,7 @@
 }
 
 const struct mh_stage *
-pipe_last(const struct mh_pipeline *p)
+pipe_last_stage(const struct mh_pipeline *p)
 {
 	return p->stages->pdata[p->stages->len - 1];
 }
@@ -60,7 +60,7 @@
 }
 
 static int64_t
-left_us(const struct request *r)
+remaining_us(const struct request *r)
 {
 	return r->deadline_us - mh_now(r->e->k);
 }
@@ -82,7 +82,6 @@
 	return sum;
 }
 
-/* Weighted tokens that the request may use at most. */
 double
 pipe_units(const struct request *r)
 {
@@ -106,8 +105,8 @@
 static void
 stop_timers(struct request *r)
 {
-	mh_timer_stop(r->e->k, &r->check);
-	mh_timer_stop(r->e->k, &r->hedge);
+	mh_timer_stop(r->e->k, &r->check_timer);
+	mh_timer_stop(r->e->k, &r->hedge_timer);
 }
 
 static void
@@ -138,33 +137,34 @@
 }
 
 /*
- * Retries and hedges share one budget, a part of recent traffic: when a
- * whole pool is in trouble, more calls would only add to it.
+ * Retries and hedges share one budget, which is a share of recent traffic:
+ * when a whole pool fails, more calls would only add to its load.
  */
 static bool
-may_spend(const struct request *r)
+has_budget(const struct request *r)
 {
-	return policy_of(r)->retrying == MH_RETRY_PLAIN ? r->picks < 2
-							: r->e->budget >= 1;
+	return policy_of(r)->retrying == MH_RETRY_PLAIN
+	    ? r->picks < 2
+	    : r->e->retry_budget >= 1;
 }
 
 static bool
-spend(struct request *r)
+spend_budget(struct request *r)
 {
-	if (!may_spend(r)) {
+	if (!has_budget(r)) {
 		mh_count(r->e->k, "pipe_budget_empty", 1);
 		return false;
 	}
 	if (policy_of(r)->retrying == MH_RETRY_BUDGET)
-		r->e->budget -= 1;
+		r->e->retry_budget -= 1;
 	return true;
 }
 
 static void
-earn(struct request *r)
+refill_budget(struct request *r)
 {
-	r->e->budget =
-	    MIN(r->e->budget + policy_of(r)->retry_share, BUDGET_MAX);
+	r->e->retry_budget = MIN(
+	    r->e->retry_budget + policy_of(r)->retry_share, MAX_RETRY_BUDGET);
 }
 
 static int64_t
@@ -175,7 +175,7 @@
 	return us + (int64_t)(mh_random_unit(r->e->k) * (double)us / 2);
 }
 
-/* No attempt is left: the caller hears it now, not at its deadline. */
+/* No further call is possible: fail now, not at the deadline. */
 static void
 give_up(struct request *r, const char *detail, int64_t retry_us)
 {
@@ -186,7 +186,7 @@
 		.outcome = entry_key_outcome(r) };
 
 	p.retry_us = retry_after(r, retry_us);
-	if (r->unknown) {
+	if (r->outcome_unknown) {
 		p.status = 504;
 		p.kind = "outcome-unknown";
 		p.outcome = "unknown";
@@ -205,11 +205,11 @@
 }
 
 /*
- * A call that may run once is left to end: only its answer tells what became
- * of it.
+ * A non-repeatable call in flight is not cancelled: only its result tells
+ * whether it ran.
  */
 void
-pipe_held(struct request *r)
+pipe_quarantine(struct request *r)
 {
 	struct problem p = { .status = 503,
 		.kind = "request-held",
@@ -220,7 +220,7 @@
 
 	if (stage_of(r)->never && running_tries(r) > 0)
 		return;
-	if (r->unknown) {
+	if (r->outcome_unknown) {
 		give_up(r, p.detail, 0);
 		return;
 	}
@@ -260,13 +260,13 @@
 }
 
 static void
-stage_done(
-    struct request *r, struct try *t, struct mh_peer *p, const Mh__Result *res)
+stage_done(struct request *r, struct stage_try *t, struct mh_peer *p,
+    const Mh__Result *res)
 {
 	const struct mh_stage *s = stage_of(r);
 	uint32_t tokens = s->kind == MH_GENERATE ? t->tokens : 0;
 
-	/* Without the time in the queue, which the load reports tell. */
+	/* The times exclude queueing, which load reports cover. */
 	if (tokens > 0 && res->first_us > 0)
 		mh_predict_first(r->e->k, s->pool, (int64_t)res->first_us);
 	if (res->endpoint_us > 0)
@@ -289,42 +289,44 @@
 {
 	struct request *r = arg;
 
-	r->check = NULL;
+	r->check_timer = NULL;
 	next_try(r, false);
 }
 
 /*
- * A given key can run at one owner only.  While its partition changes hands
- * it is refused for a moment; asking again is safe, for a refusal is final
- * for that call and the next one carries the new owner's epoch.
+ * A key that the caller sent can run only at the owner of its partition, and
+ * calls are refused during a handover.  A retry is safe: the refused call
+ * never runs, and the next one carries the new owner's epoch.
  */
 static void
 wait_for_owner(struct request *r)
 {
 	mh_count(r->e->k, "pipe_owner_waits", 1);
-	mh_timer_stop(r->e->k, &r->check);
-	r->check = mh_timer_start(r->e->k, MOVE_WAIT_US, on_owner_wait, r);
+	mh_timer_stop(r->e->k, &r->check_timer);
+	r->check_timer =
+	    mh_timer_start(r->e->k, HANDOVER_WAIT_US, on_owner_wait, r);
 }
 
 /*
- * Whether the owner of a given key may be asked soon.  A dead one whose VM is
- * still listed keeps its partitions, since it may only be paused: its callers
- * hear so at once instead of at their deadlines.
+ * Whether an owner of a given key may soon accept calls: the present one after
+ * a restart, or another after the VM was removed from the list.  An owner that
+ * is silent for longer while its VM is listed keeps its partitions, since it
+ * may only be paused; requests for it fail at once, not at their deadlines.
  */
 static bool
-owner_may_come(struct request *r)
+owner_may_return(struct request *r)
 {
 	const struct mh_part *part = mh_owners_part(
 	    entry_owners(r->e, stage_of(r)->pool), mh_partition_of(r->key));
 	const struct mh_peer *p = mh_member_find(r->e->k, part->vm);
 
 	return p == NULL || !p->listed ||
-	    mh_now(r->e->k) - p->last_rx_us < OWNER_BACK_US;
+	    mh_now(r->e->k) - p->last_rx_us < OWNER_RESTART_US;
 }
 
-/* Refusals that no other try can change; false for all others. */
+/* Fails the request if a retry cannot change the refusal, else false. */
 static bool
-refused_for_good(struct request *r, const Mh__Result *res)
+refused_permanently(struct request *r, const Mh__Result *res)
 {
 	struct problem p = { .status = 409,
 		.outcome = r->key_given ? entry_outcome_text(r->key_outcome)
@@ -354,15 +356,15 @@
 	return true;
 }
 
-static void on_result(
-    struct request *r, struct try *t, struct mh_peer *p, const Mh__Result *res);
+static void on_result(struct request *r, struct stage_try *t, struct mh_peer *p,
+    const Mh__Result *res);
 
 /*
- * Every token came and only the end mark was lost: the text is whole, and
- * asking another engine for no token at all would fail.
+ * If every token has arrived and only the end mark was lost, the text is
+ * complete; a retry would request zero tokens of another engine and fail.
  */
 static bool
-text_is_whole(struct request *r, struct mh_peer *p)
+complete_text(struct request *r, struct mh_peer *p)
 {
 	Mh__Result whole = MH__RESULT__INIT;
 
@@ -373,9 +375,9 @@
 	return true;
 }
 
-/* A try ended without a result; another may follow. */
+/* Handles a call that ended without a result: retry, wait or give up. */
 static void
-try_failed(struct request *r, struct mh_peer *p, const Mh__Result *res)
+handle_failed_try(struct request *r, struct mh_peer *p, const Mh__Result *res)
 {
 	const struct mh_stage *s = stage_of(r);
 	bool not_run = res->outcome == MH__OUTCOME__NOT_RUN;
@@ -387,29 +389,29 @@
 	r->last_domain = g_strdup(p->domain);
 	r->key_outcome = not_run ? res->key_outcome : MH__OUTCOME__UNKNOWN;
 	if (res->outcome == MH__OUTCOME__UNKNOWN)
-		r->unknown = true;
+		r->outcome_unknown = true;
 	else if (!not_run)
 		r->maybe_ran = true;
 	if (running_tries(r) > 0)
 		return;
 	stop_timers(r);
-	if ((not_run && refused_for_good(r, res)) || text_is_whole(r, p))
+	if ((not_run && refused_permanently(r, res)) || complete_text(r, p))
 		return;
 	if (res->reason == WHY_HELD ||
 	    mh_poison_held_us(r->e->k, r->print) > 0) {
-		pipe_held(r);
+		pipe_quarantine(r);
 		return;
 	}
-	if (s->never && r->key_given && not_run && !r->unknown &&
-	    left_us(r) > 4 * MOVE_WAIT_US) {
+	if (s->never && r->key_given && not_run && !r->outcome_unknown &&
+	    remaining_us(r) > 4 * HANDOVER_WAIT_US) {
 		wait_for_owner(r);
 		return;
 	}
-	fits = left_us(r) >
+	fits = remaining_us(r) >
 	    mh_predict_us(r->e->k, s->pool, tokens_of(r, s), NULL) / 2;
-	/* A refusal cost nothing; only real repeats draw on the budget. */
-	if (!r->unknown && fits && r->picks < MAX_PICKS &&
-	    (not_run || (!s->never && spend(r)))) {
+	/* A refused call did no work: only real retries use the budget. */
+	if (!r->outcome_unknown && fits && r->picks < MAX_PICKS &&
+	    (not_run || (!s->never && spend_budget(r)))) {
 		mh_count(r->e->k, not_run ? "pipe_repicks" : "pipe_retries", 1);
 		next_try(r, false);
 		return;
@@ -420,7 +422,7 @@
 	    (int64_t)res->retry_us);
 }
 
-/* A non-repeatable service's answer is final whatever its status says. */
+/* The response of a non-repeatable service is final at any status. */
 static bool
 service_refused(struct request *r, const Mh__Result *res)
 {
@@ -440,22 +442,22 @@
 }
 
 static void
-on_result(
-    struct request *r, struct try *t, struct mh_peer *p, const Mh__Result *res)
+on_result(struct request *r, struct stage_try *t, struct mh_peer *p,
+    const Mh__Result *res)
 {
 	GBytes *body;
 	bool ok;
 
 	t->call = NULL;
 	if (res->outcome != MH__OUTCOME__DONE) {
-		try_failed(r, p, res);
+		handle_failed_try(r, p, res);
 		return;
 	}
 	r->maybe_ran = true;
 	if (stage_of(r)->kind == MH_SERVICE && service_refused(r, res))
 		return;
 	body = g_bytes_new(res->body.data, res->body.len);
-	ok = mh_stage_take(stage_of(r), &r->flow, body);
+	ok = mh_stage_read_result(stage_of(r), &r->flow, body);
 	g_bytes_unref(body);
 	if (ok) {
 		stage_done(r, t, p, res);
@@ -465,12 +467,12 @@
 		mh_count(r->e->k, "pipe_garbage", 1);
 		bad.outcome = stage_of(r)->never ? MH__OUTCOME__UNKNOWN
 						 : MH__OUTCOME__FAILED;
-		try_failed(r, p, &bad);
+		handle_failed_try(r, p, &bad);
 	}
 }
 
 static void
-fail_try(struct request *r, struct try *t)
+fail_try(struct request *r, struct stage_try *t)
 {
 	struct mh_peer *p = mh_call_peer(t->call);
 	Mh__Result res = MH__RESULT__INIT;
@@ -478,16 +480,15 @@
 	res.outcome = MH__OUTCOME__FAILED;
 	mh_relay_cancel(r->e->k, t->call);
 	t->call = NULL;
-	/* A call that was given up tells of its endpoint like one that failed.
-	 */
+	/* An abandoned call counts against its endpoint like a failed one. */
 	mh_route_judge(r->e->k, p, false, mh_now(r->e->k) - t->started_us);
-	try_failed(r, p, &res);
+	handle_failed_try(r, p, &res);
 }
 
 static void
 on_event(void *arg, struct mh_call *c, const struct mh_call_event *ev)
 {
-	struct try *t = arg;
+	struct stage_try *t = arg;
 	struct request *r = t->r;
 	gsize len;
 	const char *data;
@@ -499,13 +500,13 @@
 	}
 	r->maybe_ran = true;
 	if (r->done_tokens >= r->max_tokens) {
-		/* More than was asked for: the text is whole without it. */
+		/* More tokens than requested: the text is complete. */
 		mh_count(r->e->k, "pipe_surplus", 1);
 		fail_try(r, t);
 		return;
 	}
-	if (t->first_us == 0)
-		t->first_us = mh_now(r->e->k);
+	if (t->first_chunk_us == 0)
+		t->first_chunk_us = mh_now(r->e->k);
 	t->tokens++;
 	r->done_tokens++;
 	data = g_bytes_get_data(ev->chunk, &len);
@@ -520,13 +521,13 @@
 on_timeout(void *arg)
 {
 	struct request *r = arg;
-	struct try *last = NULL;
+	struct stage_try *last = NULL;
 
-	r->check = NULL;
+	r->check_timer = NULL;
 	mh_count(r->e->k, "pipe_timeouts", 1);
-	/* Where the first call has failed, a hedge is all that runs. */
+	/* If the first call has failed, only the hedge is in flight. */
 	for (int i = MAX_TRIES - 1; i >= 0; i--) {
-		struct try *t = &r->tries[i];
+		struct stage_try *t = &r->tries[i];
 
 		if (t->call == NULL)
 			continue;
@@ -540,9 +541,12 @@
 		fail_try(r, last);
 }
 
-/* Would this stream miss the deadline where another endpoint would not? */
+/*
+ * Whether to move a stream: it would miss the deadline or is far slower than
+ * predicted, and another endpoint could still finish in time.
+ */
 static bool
-too_slow(struct request *r, const struct try *t)
+too_slow(struct request *r, const struct stage_try *t)
 {
 	const struct mh_stage *s = stage_of(r);
 	struct mh_peer *p = mh_call_peer(t->call);
@@ -551,35 +555,37 @@
 
 	elsewhere = mh_predict_us(r->e->k, s->pool, tokens_of(r, s), NULL);
 	wait = MAX(mh_route_wait(r->e->k, s->pool, r->d.class->priority), 0);
-	if ((double)(elsewhere + wait) > RESCUE_SHARE * (double)left_us(r))
+	if ((double)(elsewhere + wait) >
+	    FAILOVER_SHARE * (double)remaining_us(r))
 		return false;
-	if (t->first_us == 0) {
+	if (t->first_chunk_us == 0) {
 		int64_t first = mh_predict_us(r->e->k, s->pool, 1, NULL);
 
-		/* Behind others in its queue it is not slow, it waits. */
+		/* A call that waits in the endpoint's queue is not slow. */
 		return p->load_queued == 0 &&
-		    waited > MAX(FIRST_FACTOR * first, FIRST_MIN_US);
+		    waited >
+		    MAX(FIRST_CHUNK_FACTOR * first, FIRST_CHUNK_MIN_US);
 	}
-	need = (now - t->first_us) * (int64_t)tokens_of(r, s) /
+	need = (now - t->first_chunk_us) * (int64_t)tokens_of(r, s) /
 	    (int64_t)MAX(t->tokens, 1);
-	return need > left_us(r) || need > 4 * (elsewhere + wait);
+	return need > remaining_us(r) || need > 4 * (elsewhere + wait);
 }
 
 static void
-on_pace(void *arg)
+check_pace(void *arg)
 {
 	struct request *r = arg;
-	struct try *t = &r->tries[0];
+	struct stage_try *t = &r->tries[0];
 
-	r->check = NULL;
+	r->check_timer = NULL;
 	if (t->call == NULL)
 		return;
-	if (may_spend(r) && too_slow(r, t)) {
+	if (has_budget(r) && too_slow(r, t)) {
 		mh_count(r->e->k, "pipe_rescues", 1);
 		fail_try(r, t);
 		return;
 	}
-	r->check = mh_timer_start(r->e->k, PACE_US, on_pace, r);
+	r->check_timer = mh_timer_start(r->e->k, PACE_CHECK_US, check_pace, r);
 }
 
 static void
@@ -587,12 +593,12 @@
 {
 	struct request *r = arg;
 
-	r->hedge = NULL;
-	/* One that may end endpoints has one at a time. */
+	r->hedge_timer = NULL;
+	/* A suspected poison request runs at one endpoint at a time. */
 	if (mh_poison_apart(r->e->k, r->print, stage_of(r)->pool) != 0)
 		return;
 	if (running_tries(r) != 1 || r->picks >= MAX_PICKS ||
-	    mh_route_usable(r->e->k, stage_of(r)->pool) < 2 || !spend(r))
+	    mh_route_usable(r->e->k, stage_of(r)->pool) < 2 || !spend_budget(r))
 		return;
 	mh_count(r->e->k, "pipe_hedges", 1);
 	g_free(r->last_vm);
@@ -602,14 +608,14 @@
 	next_try(r, true);
 }
 
-/* How long this stage may take so that the later ones still fit. */
+/* Time for this stage that leaves enough for the later ones. */
 static int64_t
-stage_left(const struct request *r)
+stage_budget_us(const struct request *r)
 {
 	int64_t later = pipe_predict_us(r, r->stage + 1, false);
-	int64_t left = left_us(r) - later;
+	int64_t rest = remaining_us(r) - later;
 
-	return MAX(left, left_us(r) / 4);
+	return MAX(rest, remaining_us(r) / 4);
 }
 
 static void
@@ -622,23 +628,24 @@
 	if (s->never)
 		return;
 	if (p->retrying == MH_RETRY_PLAIN) {
-		r->check =
+		r->check_timer =
 		    mh_timer_start(r->e->k, p->fixed_timeout_us, on_timeout, r);
 		return;
 	}
 	if (s->kind == MH_GENERATE) {
-		r->check = mh_timer_start(r->e->k, PACE_US, on_pace, r);
+		r->check_timer =
+		    mh_timer_start(r->e->k, PACE_CHECK_US, check_pace, r);
 		return;
 	}
-	r->check = mh_timer_start(
-	    r->e->k, MIN(s->timeout_us, stage_left(r)), on_timeout, r);
+	r->check_timer = mh_timer_start(
+	    r->e->k, MIN(s->timeout_us, stage_budget_us(r)), on_timeout, r);
 	mean = mh_predict_us(r->e->k, s->pool, 0, &dev);
 	if (p->hedge)
-		r->hedge = mh_timer_start(r->e->k,
+		r->hedge_timer = mh_timer_start(r->e->k,
 		    MAX(mean + HEDGE_DEVS * dev, HEDGE_MIN_US), on_hedge, r);
 }
 
-/* In arrival order the engines get no priorities either. */
+/* With queueing in arrival order the engines get no priorities either. */
 static uint32_t
 engine_priority(const struct request *r, const struct mh_stage *s)
 {
@@ -649,7 +656,7 @@
 }
 
 static void
-send_try(struct request *r, struct try *t, struct mh_peer *p)
+send_try(struct request *r, struct stage_try *t, struct mh_peer *p)
 {
 	const struct mh_stage *s = stage_of(r);
 	const char *model = s->model != NULL ? s->model : r->d.model;
@@ -662,18 +669,19 @@
 		.org_weight = r->org->weight,
 		.path = mh_stage_path(s),
 		.stream = s->kind == MH_GENERATE,
-		.never = s->never,
-		.print = r->print };
+		.at_most_once = s->never,
+		.fingerprint = r->print };
 
 	if (s->kind == MH_GENERATE && r->d.model != NULL)
 		model = r->d.model;
 	r->flow.priority = engine_priority(r, s);
 	/*
-	 * The side process refuses a waiting non-repeatable call a little
-	 * before the deadline, so that its "not run" is here in time; without
-	 * the margin the caller would be told "unknown".
+	 * The side process refuses a queued non-repeatable call shortly
+	 * before the deadline, so that its "not run" arrives in time; without
+	 * the margin the caller would get "unknown".
 	 */
-	a.left_us = s->never ? left_us(r) - NEVER_MARGIN_US : stage_left(r);
+	a.remaining_us =
+	    s->never ? remaining_us(r) - REFUSAL_MARGIN_US : stage_budget_us(r);
 	a.out_tokens = tokens_of(r, s);
 	a.units = s->kind == MH_GENERATE ? (uint64_t)pipe_units(r) : 1;
 	a.predicted_us =
@@ -681,7 +689,7 @@
 	if (s->never) {
 		struct mh_owners *o = entry_owners(r->e, s->pool);
 
-		/* A refused call never runs: each try is a call of its own. */
+		/* A refused call id never runs, so each try gets a new one. */
 		mh_uuid7(r->e->k, r->call_id);
 		a.request = r->call_id;
 		a.key = r->key;
@@ -692,7 +700,7 @@
 	    mh_stage_body(s, &r->flow, model, r->max_tokens, r->done_tokens);
 	t->r = r;
 	t->started_us = mh_now(r->e->k);
-	t->first_us = 0;
+	t->first_chunk_us = 0;
 	t->tokens = 0;
 	t->call = mh_relay_start(r->e->k, p, &a, on_event, t);
 	g_bytes_unref(a.body);
@@ -703,10 +711,10 @@
 {
 	const struct mh_stage *s = stage_of(r);
 	struct mh_peer *p = pick_endpoint(r, s);
-	struct try *t = &r->tries[hedge ? 1 : 0];
+	struct stage_try *t = &r->tries[hedge ? 1 : 0];
 
-	if (p == NULL && s->never && r->key_given && owner_may_come(r) &&
-	    left_us(r) > 4 * MOVE_WAIT_US) {
+	if (p == NULL && s->never && r->key_given && owner_may_return(r) &&
+	    remaining_us(r) > 4 * HANDOVER_WAIT_US) {
 		wait_for_owner(r);
 		return;
 	}
@@ -728,7 +736,7 @@
 {
 	r->picks = 0;
 	r->stage_us = mh_now(r->e->k);
-	earn(r);
+	refill_budget(r);
 	next_try(r, false);
 }
 
--- a/lib/relay.c
+++ b/lib/relay.c
@@ -1,9 +1,9 @@
 /**
- * DOC: Stage calls under way between this entry and side processes.
+ * DOC: Stage calls in flight from this entry to side processes.
  *
- * A call is one open slot, named by request, stage, attempt and the entry's
- * incarnation.  Frames that match no open slot are counted and dropped, so
- * a late, doubled or crossed result can reach nobody.
+ * A call has one slot, identified by request, stage, attempt and the entry's
+ * incarnation.  Frames that match no slot are counted and dropped, so that a
+ * delayed, duplicate or misdirected result reaches no request.
  */
 
 #include "marlhoist.h"
@@ -27,7 +27,7 @@
 	char *path;
 	char *key;
 	struct mh_call_args a; /* pointers into the fields above */
-	int64_t until_us;
+	int64_t deadline_us;
 	uint64_t incarnation;
 	uint32_t next_seq;
 };
@@ -87,7 +87,7 @@
 	m.id = &id;
 	m.kind = c->a.kind;
 	m.priority = c->a.priority;
-	m.left_us = (uint64_t)MAX(c->until_us - mh_now(r->k), 0);
+	m.left_us = (uint64_t)MAX(c->deadline_us - mh_now(r->k), 0);
 	m.org = c->org;
 	m.org_weight = c->a.org_weight;
 	m.units = c->a.units;
@@ -96,19 +96,19 @@
 	m.body.data = (uint8_t *)(uintptr_t)g_bytes_get_data(c->body, &len);
 	m.body.len = len;
 	m.stream = c->a.stream;
-	m.never = c->a.never;
+	m.never = c->a.at_most_once;
 	m.key = c->key;
 	m.partition = c->a.partition;
 	m.epoch = c->a.epoch;
 	m.out_tokens = c->a.out_tokens;
-	m.print = c->a.print;
+	m.print = c->a.fingerprint;
 	f.body_case = MH__FRAME__BODY_CALL;
 	f.call = &m;
 	mh_frame_send(r->k, c->peer->conn, &f);
 }
 
 static void
-send_short(struct relay *r, struct mh_call *c, Mh__Frame__BodyCase kind)
+send_control(struct relay *r, struct mh_call *c, Mh__Frame__BodyCase kind)
 {
 	Mh__Frame f = MH__FRAME__INIT;
 	Mh__Ack ack = MH__ACK__INIT;
@@ -135,7 +135,7 @@
 }
 
 static void
-unhook(struct mh_call *c)
+unlink_call(struct mh_call *c)
 {
 	struct mh_call **at = (struct mh_call **)&c->peer->calls;
 
@@ -150,7 +150,7 @@
 {
 	struct mh_call *c = arg;
 
-	unhook(c);
+	unlink_call(c);
 	g_bytes_unref(c->body);
 	g_free(c->org);
 	g_free(c->path);
@@ -176,7 +176,7 @@
 	c->org = g_strdup(a->org);
 	c->path = g_strdup(a->path);
 	c->key = g_strdup(a->key != NULL ? a->key : "");
-	c->until_us = mh_now(k) + a->left_us;
+	c->deadline_us = mh_now(k) + a->remaining_us;
 	c->incarnation = p->incarnation;
 	c->next = p->calls;
 	p->calls = c;
@@ -187,7 +187,7 @@
 	return c;
 }
 
-/* Takes the slot out and tells the owner how the call ended. */
+/* Removes the slot, passes the end of the call to its callback, frees it. */
 static void
 finish(struct relay *r, struct mh_call *c, const Mh__Result *res, bool lost)
 {
@@ -219,7 +219,7 @@
 {
 	struct relay *r = mh_kern_get(k, "relay");
 
-	send_short(r, c, MH__FRAME__BODY_CANCEL);
+	send_control(r, c, MH__FRAME__BODY_CANCEL);
 	g_hash_table_steal(r->slots, &c->id);
 	if (c->peer->own > 0)
 		c->peer->own--;
@@ -255,9 +255,9 @@
 		return;
 	}
 	if (ch->seq > c->next_seq) {
-		/* A piece is missing: ask again from there, take none. */
+		/* A chunk is missing: have the stream resent from there. */
 		mh_count(r->k, "relay_gaps", 1);
-		send_short(r, c, MH__FRAME__BODY_RESUME);
+		send_control(r, c, MH__FRAME__BODY_RESUME);
 		return;
 	}
 	c->next_seq++;
@@ -268,17 +268,18 @@
 }
 
 /*
- * The side process does not know the call: its frame was lost in the old
- * connection, or is still on its way.  Sending it again is safe, for the
- * side process runs one call id, and one key, once.  A call of which pieces
- * have come ended there, and another run's pieces don't follow on them.
+ * The side process has no record of the call: the frame was lost with the old
+ * connection, or has not arrived yet.  Sending it again is safe, since the
+ * side process runs a call id, and a key, only once.  A call of which chunks
+ * have arrived did run and has ended there; it fails, because the chunks of a
+ * second run would not continue those of the first.
  */
 static void
-not_seen(struct relay *r, struct mh_call *c)
+call_not_seen(struct relay *r, struct mh_call *c)
 {
 	if (c->next_seq > 0) {
 		mh_count(r->k, "relay_gone", 1);
-		send_short(r, c, MH__FRAME__BODY_CANCEL);
+		send_control(r, c, MH__FRAME__BODY_CANCEL);
 		lose(r, c, MH__OUTCOME__FAILED);
 		return;
 	}
@@ -299,15 +300,15 @@
 		return;
 	}
 	if (res->outcome == MH__OUTCOME__NOT_SEEN) {
-		not_seen(r, c);
+		call_not_seen(r, c);
 		return;
 	}
 	if (res->outcome == MH__OUTCOME__DONE && res->chunks != c->next_seq) {
 		mh_count(r->k, "relay_gaps", 1);
-		send_short(r, c, MH__FRAME__BODY_RESUME);
+		send_control(r, c, MH__FRAME__BODY_RESUME);
 		return;
 	}
-	send_short(r, c, MH__FRAME__BODY_ACK);
+	send_control(r, c, MH__FRAME__BODY_ACK);
 	finish(r, c, res, false);
 }
 
@@ -322,28 +323,31 @@
 }
 
 /*
- * What a link event means for one call:
- * - same incarnation: resume by id;
- * - another incarnation: the memory of the call is gone; a repeatable call
- *   is lost, a non-repeatable one may have run and is unknown;
- * - no link: a repeatable call goes elsewhere; a non-repeatable one waits,
- *   since only that side process can tell whether it ran.
+ * Applies a link event to one call:
+ * - same incarnation: the call is resumed by its id;
+ * - another incarnation: the peer has lost its record of the call; a
+ *   repeatable call has failed, a non-repeatable one may have run and its
+ *   outcome is unknown;
+ * - no link: a repeatable call fails, to be retried elsewhere; a
+ *   non-repeatable one waits, since only that side process can tell whether
+ *   it ran.
  */
 static void
 call_on_link(struct relay *r, struct mh_call *c, enum mh_link_event ev)
 {
-	bool other = ev == MH_LINK_OTHER ||
+	bool restarted = ev == MH_LINK_OTHER ||
 	    (ev == MH_LINK_SAME && c->incarnation != c->peer->incarnation);
 
 	if (ev == MH_LINK_FAILED) {
-		if (!c->a.never)
+		if (!c->a.at_most_once)
 			lose(r, c, MH__OUTCOME__FAILED);
-	} else if (other) {
+	} else if (restarted) {
 		lose(r, c,
-		    c->a.never ? MH__OUTCOME__UNKNOWN : MH__OUTCOME__FAILED);
+		    c->a.at_most_once ? MH__OUTCOME__UNKNOWN
+				      : MH__OUTCOME__FAILED);
 	} else {
 		mh_count(r->k, "relay_resumes", 1);
-		send_short(r, c, MH__FRAME__BODY_RESUME);
+		send_control(r, c, MH__FRAME__BODY_RESUME);
 	}
 }
 
@@ -357,7 +361,7 @@
 	for (guint i = 0; i < a->len; i++) {
 		struct mh_call *c = a->pdata[i];
 
-		/* An earlier one's owner may have cancelled this one. */
+		/* The callback of an earlier call may have cancelled this. */
 		for (struct mh_call *x = p->calls; x != NULL; x = x->next) {
 			if (x == c) {
 				call_on_link(r, c, ev);
--- a/lib/rules.c
+++ b/lib/rules.c
@@ -1,5 +1,5 @@
 /**
- * DOC: Ordered when-then rules: the first that matches decides.
+ * DOC: Ordered when-then rules; the first match decides.
  */
 
 #include "marlhoist.h"
@@ -40,7 +40,7 @@
 	return true;
 }
 
-/* A span whose end lies before its start runs over midnight. */
+/* A range whose end lies before its start spans midnight. */
 static bool
 in_minutes(const struct mh_when *w, int64_t wall_us)
 {
@@ -53,28 +53,28 @@
 	return now >= w->from_min || now < w->to_min;
 }
 
-/* Why the rule does not match, or NULL when it does. */
+/* Returns why the rule does not match, or NULL if it does. */
 static const char *
-mismatch(const struct mh_rule *r, const struct mh_ask *a)
+mismatch(const struct mh_rule *r, const struct mh_ask *in)
 {
-	if (!in_names(r->when.organisations, a->org))
+	if (!in_names(r->when.organisations, in->org))
 		return "organisation differs";
-	if (!in_names(r->when.pipelines, a->pipeline))
+	if (!in_names(r->when.pipelines, in->pipeline))
 		return "pipeline differs";
-	if (!in_names(r->when.classes, a->class_asked))
+	if (!in_names(r->when.classes, in->class_asked))
 		return "class asked differs";
-	if (!in_names(r->when.models, a->model))
+	if (!in_names(r->when.models, in->model))
 		return "model differs";
-	if (!in_labels(r->when.labels, a->labels))
+	if (!in_labels(r->when.labels, in->labels))
 		return "labels differ";
-	if (!in_minutes(&r->when, a->wall_us))
+	if (!in_minutes(&r->when, in->wall_us))
 		return "outside its time of day";
 	return NULL;
 }
 
 static void
-apply(const struct mh_decl *d, const struct mh_rule *r, const struct mh_ask *a,
-    struct mh_decision *out)
+apply_rule(const struct mh_decl *d, const struct mh_rule *r,
+    const struct mh_ask *in, struct mh_decision *out)
 {
 	out->rule = r;
 	out->refuse = r->then.refuse;
@@ -88,36 +88,36 @@
 		return;
 	out->deadline_us = r->then.deadline_us > 0 ? r->then.deadline_us
 						   : out->class->deadline_us;
-	/* A caller may ask for less time than the rules give, not more. */
-	if (a->deadline_us > 0 && a->deadline_us < out->deadline_us)
-		out->deadline_us = a->deadline_us;
+	/* A caller can shorten the rules' deadline, not extend it. */
+	if (in->deadline_us > 0 && in->deadline_us < out->deadline_us)
+		out->deadline_us = in->deadline_us;
 }
 
 void
 mh_rules_decide(
-    const struct mh_decl *d, const struct mh_ask *a, struct mh_decision *out)
+    const struct mh_decl *d, const struct mh_ask *in, struct mh_decision *out)
 {
 	memset(out, 0, sizeof(*out));
-	out->pipeline = mh_decl_pipeline(d, a->pipeline);
-	out->model = a->model;
+	out->pipeline = mh_decl_pipeline(d, in->pipeline);
+	out->model = in->model;
 	for (guint i = 0; i < d->rules->len; i++) {
 		const struct mh_rule *r = d->rules->pdata[i];
 
-		if (mismatch(r, a) == NULL) {
-			apply(d, r, a, out);
+		if (mismatch(r, in) == NULL) {
+			apply_rule(d, r, in, out);
 			return;
 		}
 	}
 }
 
 char *
-mh_rules_explain(const struct mh_decl *d, const struct mh_ask *a)
+mh_rules_explain(const struct mh_decl *d, const struct mh_ask *in)
 {
 	GString *s = g_string_new(NULL);
 
 	for (guint i = 0; i < d->rules->len; i++) {
 		const struct mh_rule *r = d->rules->pdata[i];
-		const char *why = mismatch(r, a);
+		const char *why = mismatch(r, in);
 
 		g_string_append_printf(s, "%s (line %u): %s\n", r->name,
 		    r->line, why != NULL ? why : "decides");
--- a/lib/stage.c
+++ b/lib/stage.c
@@ -1,6 +1,6 @@
 /**
- * DOC: What passes between the stages of a request: builds each stage's
- * body and takes its result, checked for shape.
+ * DOC: Data flow between the stages of a request: builds the body of each
+ * stage's call, and parses and validates its result.
  */
 
 #include "marlhoist.h"
@@ -35,7 +35,7 @@
 }
 
 static const char *
-text_in(const struct mh_flow *f, const char *name)
+input_text(const struct mh_flow *f, const char *name)
 {
 	const char *t = json_string_value(json_object_get(f->input, name));
 
@@ -43,13 +43,13 @@
 }
 
 /*
- * The shared context stands first, so that engines find it in their prefix
- * caches; what is this request's own comes after it.
+ * The shared context comes first, so that engines find it in their prefix
+ * caches; the text that differs between requests follows.
  */
 static char *
 make_prompt(const struct mh_flow *f)
 {
-	GString *s = g_string_new(text_in(f, "context"));
+	GString *s = g_string_new(input_text(f, "context"));
 	size_t i;
 	json_t *d;
 
@@ -60,7 +60,7 @@
 		g_string_append_printf(s, "\n%s", t == NULL ? "" : t);
 	}
 	g_string_append_printf(
-	    s, "\nQuestion: %s\nAnswer:", text_in(f, "input"));
+	    s, "\nQuestion: %s\nAnswer:", input_text(f, "input"));
 	if (f->text != NULL)
 		g_string_append(s, f->text->str);
 	return g_string_free(s, FALSE);
@@ -96,32 +96,32 @@
     const char *model, uint32_t max_tokens, uint32_t done_tokens)
 {
 	const char *m = model != NULL ? model : "default";
-	json_t *o, *own;
+	json_t *o, *body;
 
 	switch (s->kind) {
 	case MH_ENCODE:
 		return dump(json_pack(
-		    "{s:s, s:s}", "model", m, "input", text_in(f, "input")));
+		    "{s:s, s:s}", "model", m, "input", input_text(f, "input")));
 	case MH_RETRIEVE:
-		o = json_pack("{s:s, s:i}", "query", text_in(f, "input"),
+		o = json_pack("{s:s, s:i}", "query", input_text(f, "input"),
 		    "top_k", (int)s->top_k);
 		if (f->embedding != NULL)
 			json_object_set(o, "embedding", f->embedding);
 		return dump(o);
 	case MH_RERANK:
 		return dump(json_pack("{s:s, s:s, s:o, s:i}", "model", m,
-		    "query", text_in(f, "input"), "documents",
+		    "query", input_text(f, "input"), "documents",
 		    document_texts(f), "top_n", (int)s->top_k));
 	case MH_GENERATE:
 		return generate_body(f, m, max_tokens - done_tokens);
 	default:
-		own = json_object_get(f->input, "body");
-		return dump(json_incref(own != NULL ? own : f->input));
+		body = json_object_get(f->input, "body");
+		return dump(json_incref(body != NULL ? body : f->input));
 	}
 }
 
 static bool
-take_embedding(struct mh_flow *f, json_t *j)
+read_embedding(struct mh_flow *f, json_t *j)
 {
 	json_t *e = json_object_get(
 	    json_array_get(json_object_get(j, "data"), 0), "embedding");
@@ -134,7 +134,7 @@
 }
 
 static bool
-take_documents(struct mh_flow *f, json_t *j)
+read_documents(struct mh_flow *f, json_t *j)
 {
 	json_t *a = json_object_get(j, "documents");
 
@@ -146,7 +146,7 @@
 }
 
 static bool
-take_ranking(const struct mh_stage *s, struct mh_flow *f, json_t *j)
+read_ranking(const struct mh_stage *s, struct mh_flow *f, json_t *j)
 {
 	json_t *results = json_object_get(j, "results"), *r, *out;
 	size_t i;
@@ -173,16 +173,17 @@
 	return true;
 }
 
-/* Any stage may be the last: its document is then the answer. */
+/* Any stage may be the last; its result is then the answer. */
 static void
-keep_answer(struct mh_flow *f, json_t *j)
+store_answer(struct mh_flow *f, json_t *j)
 {
 	json_decref(f->answer);
 	f->answer = json_incref(j);
 }
 
 bool
-mh_stage_take(const struct mh_stage *s, struct mh_flow *f, GBytes *result)
+mh_stage_read_result(
+    const struct mh_stage *s, struct mh_flow *f, GBytes *result)
 {
 	gsize len;
 	const char *data;
@@ -200,20 +201,20 @@
 		return false;
 	switch (s->kind) {
 	case MH_ENCODE:
-		ok = take_embedding(f, j);
+		ok = read_embedding(f, j);
 		break;
 	case MH_RETRIEVE:
-		ok = take_documents(f, j);
+		ok = read_documents(f, j);
 		break;
 	case MH_RERANK:
-		ok = take_ranking(s, f, j);
+		ok = read_ranking(s, f, j);
 		break;
 	default:
 		ok = true;
 		break;
 	}
 	if (ok)
-		keep_answer(f, j);
+		store_answer(f, j);
 	json_decref(j);
 	return ok;
 }
--- a/lib/until.c
+++ b/lib/until.c
@@ -1,49 +1,51 @@
 /**
- * DOC: How long a request may be here: its caller's time, and this entry's.
+ * DOC: Deadlines of requests: the caller's own, and the end of a drain.
  */
 
 #include "entry.h"
 
 /*
- * Between the last answer and the kill: the answers' bytes leave, which with
- * two losses in a row takes 600 ms (Linux repeats after 200 ms, then 400 ms),
- * and the process ends.
+ * Time between the last response and the kill, to send the response and to
+ * exit.  Sending takes 600 ms if a packet is lost twice in a row: Linux
+ * retransmits after 200 ms, then after 400 ms.
  */
-#define LAST_US (1 * MH_US_PER_S)
+#define RESPONSE_FLUSH_US (1 * MH_US_PER_S)
 
-/* What this entry's end keeps from an answer; another entry has the time. */
-const struct problem entry_leaving = { .status = 503,
+/* Another entry still has time for the request. */
+const struct problem entry_draining_problem = { .status = 503,
 	.kind = "leaving",
 	.detail = "This entry leaves before the request could end.",
 	.remedy = "Ask again after Retry-After, over a new connection.",
 	.retry_us = MH_US_PER_S };
 
 int64_t
-entry_time_us(const struct entry *e, int64_t us)
+entry_cap_us(const struct entry *e, int64_t us)
 {
-	return e->draining ? MIN(us, MAX(e->end_us - mh_now(e->k), 0)) : us;
+	return e->draining ? MIN(us, MAX(e->drain_end_us - mh_now(e->k), 0))
+			   : us;
 }
 
 bool
-entry_ends(const struct request *r)
+entry_cut_by_drain(const struct request *r)
 {
-	return r->e->draining && r->deadline_us >= r->e->end_us;
+	return r->e->draining && r->deadline_us >= r->e->drain_end_us;
 }
 
 /*
- * At the deadline an answer is of no use any more.  A non-repeatable call
- * that is still out may run or have run: that is "unknown", never
+ * An answer after the deadline is of no use.  A non-repeatable call still in
+ * flight may have run or may yet run: its outcome is "unknown", never
  * "not run".
  */
 static void
 on_deadline(void *arg)
 {
-	static const struct problem passed = { .status = 504,
+	static const struct problem expired = { .status = 504,
 		.kind = "deadline",
 		.detail = "The deadline passed.",
 		.remedy = "Ask again, or ask for more time." };
 	struct request *r = arg;
-	struct problem p = entry_ends(r) ? entry_leaving : passed;
+	struct problem p =
+	    entry_cut_by_drain(r) ? entry_draining_problem : expired;
 	const struct mh_stage *s = r->d.pipeline->stages->pdata[r->stage];
 
 	p.outcome = r->key_given	      ? entry_key_outcome(r)
@@ -52,8 +54,8 @@
 	if (r->key_given)
 		p.remedy = "Ask again with the same key, or look the outcome "
 			   "up; do not repeat it under another key.";
-	r->deadline = NULL;
-	if (entry_ends(r))
+	r->deadline_timer = NULL;
+	if (entry_cut_by_drain(r))
 		mh_count(r->e->k, "entry_cuts", 1);
 	if (s->never && r->tries[0].call != NULL) {
 		p.status = 504;
@@ -71,19 +73,20 @@
 {
 	struct mh_kern *k = r->e->k;
 
-	mh_timer_stop(k, &r->deadline);
-	r->deadline =
+	mh_timer_stop(k, &r->deadline_timer);
+	r->deadline_timer =
 	    mh_timer_start(k, r->deadline_us - mh_now(k), on_deadline, r);
 }
 
 /*
- * A request's own deadline may lie an hour ahead, beyond the kill, which
- * closes its caller's connection without a word: whether it ran, the caller
- * can't tell.  With the end as its deadline it is told while the answer can
- * still leave.  Lookups need no such bound: a second later all are answered.
+ * A request's own deadline may be an hour away.  If the process were killed
+ * before it, the caller's connection would close without a response, and the
+ * caller could not tell whether the request ran.  A deadline at the end of the
+ * drain leaves time for a response.  Lookups need no such limit, since they
+ * time out within a second.
  */
 static void
-bound_requests(struct entry *e)
+limit_deadlines(struct entry *e)
 {
 	GHashTableIter it;
 	gpointer v;
@@ -92,9 +95,9 @@
 	while (g_hash_table_iter_next(&it, NULL, &v)) {
 		struct request *r = v;
 
-		if (r->deadline_us <= e->end_us)
+		if (r->deadline_us <= e->drain_end_us)
 			continue;
-		r->deadline_us = e->end_us;
+		r->deadline_us = e->drain_end_us;
 		entry_set_deadline(r);
 	}
 }
@@ -105,7 +108,7 @@
 	struct entry *e = mh_kern_get(k, "entry");
 
 	e->draining = true;
-	e->end_us = mh_now(k) + grace_us - LAST_US;
-	bound_requests(e);
+	e->drain_end_us = mh_now(k) + grace_us - RESPONSE_FLUSH_US;
+	limit_deadlines(e);
 	mh_member_drain(k);
 }
--- a/regress/t_entry.c
+++ b/regress/t_entry.c
@@ -1,6 +1,6 @@
 /**
- * DOC: Own answer, whole and in time: streams over bad links, retries,
- * hedges, deadlines, drains, cancels, limits.
+ * DOC: Each request gets its own complete answer in time: streams over faulty
+ * links, retries, hedges, deadlines, drains, cancels and limits.
  */
 
 #include "net.h"
@@ -18,7 +18,7 @@
 };
 
 static void
-make(struct entry_world *w, uint32_t seed, const char *doc)
+entry_world_create(struct entry_world *w, uint32_t seed, const char *doc)
 {
 	static const char *const domains[] = { "a", "b", "c" };
 	char vm[24];
@@ -39,7 +39,7 @@
 }
 
 static uint64_t
-plan(struct entry_world *w, bool stream)
+send_plan(struct entry_world *w, bool stream)
 {
 	struct net_ask a = { .path = "/v1/pipelines/plan",
 		.body = stream
@@ -50,7 +50,7 @@
 }
 
 static uint64_t
-embed(struct entry_world *w)
+send_embed(struct entry_world *w)
 {
 	struct net_ask a = { .path = "/v1/pipelines/embed" };
 
@@ -58,7 +58,7 @@
 }
 
 static void
-check_whole(struct entry_world *w, uint64_t id)
+check_complete(struct entry_world *w, uint64_t id)
 {
 	CU_ASSERT_EQUAL(net_answer(w->n, id)->status, 200);
 	CU_ASSERT_STRING_EQUAL(net_answer_text(w->n, id, "outcome"), "done");
@@ -81,35 +81,35 @@
 	return NULL;
 }
 
-struct silence {
+struct direction {
 	bool in;
 	bool out;
 };
 
 /*
- * Something between two VMs loses track of a connection in the middle of a
- * streamed plan: no error, no more tokens.  The parent stares at half a
- * plan.  A second link takes up the stream by its number.
+ * A middlebox between two VMs drops a connection's packets in the middle of a
+ * stream, in one direction or both, without an error.  The stream must resume
+ * over a second link from the first missing chunk.
  */
 static void
 test_stream_over_a_silent_link(void)
 {
-	static const struct silence ways[] = { { true, true }, { true, false },
-		{ false, true } };
+	static const struct direction drops[] = { { true, true },
+		{ true, false }, { false, true } };
 
-	for (size_t i = 0; i < G_N_ELEMENTS(ways); i++) {
+	for (size_t i = 0; i < G_N_ELEMENTS(drops); i++) {
 		struct entry_world w;
 		struct net_node *x;
 		uint64_t id;
 
-		make(&w, 1, net_doc);
-		id = plan(&w, false);
+		entry_world_create(&w, 1, net_doc);
+		id = send_plan(&w, false);
 		net_run(w.n, 200 * MH_US_PER_MS);
 		x = busy_llm(&w);
 		CU_ASSERT_PTR_NOT_NULL_FATAL(x);
-		net_silence(x, ways[i].in, ways[i].out);
+		net_silence(x, drops[i].in, drops[i].out);
 		net_run(w.n, 3 * MH_US_PER_S);
-		check_whole(&w, id);
+		check_complete(&w, id);
 		CU_ASSERT(mh_counter(w.e->k, "member_silent_links") > 0);
 		CU_ASSERT_EQUAL(
 		    w.llm[0]->runs + w.llm[1]->runs + w.llm[2]->runs, 1);
@@ -117,27 +117,27 @@
 	}
 }
 
-/* The engine's side process dies in mid-stream: another goes on with it. */
+/* The side process is killed in mid-stream: the stream fails over. */
 static void
-test_stream_goes_on_elsewhere(void)
+test_stream_failover(void)
 {
 	struct entry_world w;
 	struct net_node *x;
 	uint64_t id;
 
-	make(&w, 2, net_doc);
-	id = plan(&w, false);
+	entry_world_create(&w, 2, net_doc);
+	id = send_plan(&w, false);
 	net_run(w.n, 250 * MH_US_PER_MS);
 	x = busy_llm(&w);
 	CU_ASSERT_PTR_NOT_NULL_FATAL(x);
 	net_kill(x);
 	net_run(w.n, 3 * MH_US_PER_S);
-	check_whole(&w, id);
+	check_complete(&w, id);
 	CU_ASSERT_EQUAL(mh_counter(w.e->k, "pipe_retries"), 1);
 	net_destroy(w.n);
 }
 
-/* How many tokens @text has, each run's from its first on; 0: not so. */
+/* Number of tokens in @text; 0 if a run's tokens are not in order from 1. */
 static uint32_t
 tokens_in_order(const char *text)
 {
@@ -179,9 +179,12 @@
 	return g_string_free(text, FALSE);
 }
 
-/* Guards against pieces of two runs of a call joined by their numbers. */
+/*
+ * The side process has ended a call of which chunks have arrived.  Guards
+ * against joining the chunks of a second run to them by sequence number.
+ */
 static void
-test_stream_of_a_call_that_is_gone(void)
+test_stream_of_an_ended_call(void)
 {
 	struct net_ask slow = { .path = "/v1/pipelines/plan",
 		.class_asked = "batch",
@@ -190,12 +193,12 @@
 	struct net_node *x;
 	uint64_t id;
 
-	make(&w, 18, net_doc);
+	entry_world_create(&w, 18, net_doc);
 	for (int i = 0; i < 3; i++) {
 		w.llm[i]->numbered = true;
 		w.llm[i]->service_us = 2 * MH_US_PER_S;
 	}
-	/* It is known that they take so long: the stream isn't moved. */
+	/* Train the predictor, so that the slow stream isn't failed over. */
 	for (int i = 0; i < 10; i++) {
 		(void)net_request(w.e, &slow);
 		net_run(w.n, 3 * MH_US_PER_S);
@@ -204,7 +207,7 @@
 	net_run(w.n, 800 * MH_US_PER_MS);
 	x = busy_llm(&w);
 	CU_ASSERT_PTR_NOT_NULL_FATAL(x);
-	/* Over a second without its entry: the side process ends the call. */
+	/* The side process ends a call after a second without its entry. */
 	w.e->paused = true;
 	net_cut(x);
 	net_run(w.n, 1500 * MH_US_PER_MS);
@@ -215,22 +218,22 @@
 	net_destroy(w.n);
 }
 
-/* Guards against an engine that goes on behind what was asked for. */
+/* An engine that sends more tokens than requested is cut off. */
 static void
-test_stream_of_more_than_was_asked(void)
+test_stream_of_surplus_tokens(void)
 {
 	for (int stream = 0; stream < 2; stream++) {
 		struct entry_world w;
 		struct net_answer *a;
 		uint64_t id;
 
-		make(&w, 19, net_doc);
+		entry_world_create(&w, 19, net_doc);
 		for (int i = 0; i < 3; i++) {
 			w.llm[i]->numbered = true;
 			w.llm[i]->surplus = 1000;
 			w.llm[i]->service_us = 3 * MH_US_PER_S;
 		}
-		id = plan(&w, stream == 1);
+		id = send_plan(&w, stream == 1);
 		net_run(w.n, 500 * MH_US_PER_MS);
 		a = net_answer(w.n, id);
 		CU_ASSERT_TRUE(a->ended);
@@ -244,48 +247,48 @@
 }
 
 /*
- * Every token of a plan came, then the engine's connection broke before the
- * end mark.  Asking another engine for no token at all failed the request.
+ * Every token has arrived, then the engine's connection breaks before the end
+ * mark.  A retry for zero tokens at another engine would fail the request.
  */
 static void
-test_lost_end_mark_of_a_whole_text(void)
+test_lost_end_mark_of_a_complete_text(void)
 {
 	struct entry_world w;
 	uint64_t id;
 
-	make(&w, 17, net_doc);
+	entry_world_create(&w, 17, net_doc);
 	for (int i = 0; i < 3; i++)
 		w.llm[i]->cut = true;
-	id = plan(&w, false);
+	id = send_plan(&w, false);
 	net_run(w.n, 3 * MH_US_PER_S);
-	check_whole(&w, id);
+	check_complete(&w, id);
 	CU_ASSERT_EQUAL(w.llm[0]->runs + w.llm[1]->runs + w.llm[2]->runs, 1);
 	net_destroy(w.n);
 }
 
-/* Doubled and late frames: every answer is whole, in order and its own. */
+/* With duplicate and delayed frames each answer is complete and its own. */
 static void
-test_doubled_and_late_frames(void)
+test_duplicate_and_delayed_frames(void)
 {
 	struct entry_world w;
 	uint64_t ids[60];
 
-	make(&w, 3, net_doc);
+	entry_world_create(&w, 3, net_doc);
 	w.n->duplicate = 0.3;
 	w.n->delay = 0.2;
 	for (int i = 0; i < 60; i++) {
-		ids[i] = plan(&w, false);
+		ids[i] = send_plan(&w, false);
 		net_run(w.n, 100 * MH_US_PER_MS);
 	}
 	net_run(w.n, 6 * MH_US_PER_S);
 	for (int i = 0; i < 60; i++)
-		check_whole(&w, ids[i]);
+		check_complete(&w, ids[i]);
 	CU_ASSERT(mh_counter(w.e->k, "relay_unmatched") > 0);
 	net_destroy(w.n);
 }
 
 static void
-do_harm(struct entry_world *w)
+inject_fault(struct entry_world *w)
 {
 	struct net_node *x = w->llm[mh_random(w->n->k) % 3];
 
@@ -315,7 +318,7 @@
 	}
 }
 
-/* The text of the caller's stream, and of its end, is whole and in order. */
+/* The streamed text and the final event are complete and in order. */
 static bool
 check_stream(struct entry_world *w, uint64_t id)
 {
@@ -333,7 +336,7 @@
 		json_decref(j);
 	} else {
 		CU_ASSERT(*text == '\0' || tokens_in_order(text) > 0);
-		/* It says that it is not whole, as an event or a status. */
+		/* The failure is reported, as an event or a status. */
 		CU_ASSERT(g_str_has_prefix(end, "event: problem\ndata: ") ||
 		    net_answer(w->n, id)->status >= 400);
 	}
@@ -341,9 +344,9 @@
 	return done;
 }
 
-/* Guards against pieces lost, doubled or joined, whatever breaks. */
+/* Guards against lost, duplicate or joined chunks under random faults. */
 static void
-test_streams_in_trouble(void)
+test_streams_under_faults(void)
 {
 	struct net_ask a = { .path = "/v1/pipelines/plan",
 		.class_asked = "batch",
@@ -356,7 +359,7 @@
 		uint64_t ids[80];
 		uint32_t done = 0;
 
-		make(&w, seed, net_doc);
+		entry_world_create(&w, seed, net_doc);
 		w.n->duplicate = 0.1;
 		w.n->delay = 0.05;
 		for (int i = 0; i < 3; i++) {
@@ -367,7 +370,7 @@
 			ids[i] = net_request(w.e, &a);
 			net_run(w.n, 200 * MH_US_PER_MS);
 			if (i % 4 == 3)
-				do_harm(&w);
+				inject_fault(&w);
 		}
 		net_run(w.n, 11 * MH_US_PER_S);
 		for (size_t i = 0; i < G_N_ELEMENTS(ids); i++)
@@ -379,7 +382,7 @@
 
 /*
  * One encoder is fifty times slower.  Without hedging one request in three
- * waits for it; with it the answer comes from another.
+ * waits for it; with hedging another encoder answers.
  */
 static void
 test_hedge_around_a_straggler(void)
@@ -388,16 +391,16 @@
 	uint64_t id;
 	int slow = 0;
 
-	make(&w, 4, net_doc);
+	entry_world_create(&w, 4, net_doc);
 	for (int i = 0; i < 30; i++) {
-		embed(&w);
+		send_embed(&w);
 		net_run(w.n, 30 * MH_US_PER_MS);
 	}
 	w.enc[1]->service_us = 500 * MH_US_PER_MS;
 	for (int i = 0; i < 30; i++) {
 		int64_t at = net_now(w.n);
 
-		id = embed(&w);
+		id = send_embed(&w);
 		net_run(w.n, 700 * MH_US_PER_MS);
 		slow += net_answer(w.n, id)->at_us - at > 100 * MH_US_PER_MS;
 		CU_ASSERT_EQUAL(net_answer(w.n, id)->status, 200);
@@ -408,7 +411,7 @@
 }
 
 static uint32_t
-encodes(const struct entry_world *w)
+encoder_runs(const struct entry_world *w)
 {
 	uint32_t n = 0;
 
@@ -426,26 +429,26 @@
 	}
 }
 
-/* The time of a first call that failed takes its hedge, and nothing follows. */
+/* With the first call failed, the timeout must end the hedge and retry. */
 static void
-test_hedge_goes_on_alone(void)
+test_hedge_after_failed_first_call(void)
 {
 	struct entry_world w;
 	uint64_t id;
-	uint32_t had;
+	uint32_t runs_before;
 
-	make(&w, 4, net_doc);
+	entry_world_create(&w, 4, net_doc);
 	for (int i = 0; i < 30; i++) {
-		embed(&w);
+		send_embed(&w);
 		net_run(w.n, 30 * MH_US_PER_MS);
 	}
-	had = encodes(&w);
+	runs_before = encoder_runs(&w);
 	set_encoders(&w, 60 * MH_US_PER_MS, 500);
-	id = embed(&w);
-	while (encodes(&w) == had)
+	id = send_embed(&w);
+	while (encoder_runs(&w) == runs_before)
 		net_run(w.n, MH_US_PER_MS);
 	set_encoders(&w, 60 * MH_US_PER_S, 0);
-	while (encodes(&w) == had + 1)
+	while (encoder_runs(&w) == runs_before + 1)
 		net_run(w.n, MH_US_PER_MS);
 	CU_ASSERT_EQUAL(mh_counter(w.e->k, "pipe_hedges"), 1);
 	set_encoders(&w, 5 * MH_US_PER_MS, 0);
@@ -456,20 +459,20 @@
 }
 
 /*
- * A whole pool fails.  Retrying each request again and again multiplied the
- * load on it; the budget bounds the extra calls to a share of the traffic.
+ * A whole pool fails.  Unlimited retries would multiply the load on it; the
+ * budget limits the extra calls to a share of the traffic.
  */
 static void
-test_retries_keep_to_their_budget(void)
+test_retries_within_budget(void)
 {
 	struct entry_world w;
 	uint64_t calls, extra;
 
-	make(&w, 5, net_doc);
+	entry_world_create(&w, 5, net_doc);
 	for (int i = 0; i < 3; i++)
 		w.enc[i]->status = 500;
 	for (int i = 0; i < 200; i++) {
-		embed(&w);
+		send_embed(&w);
 		net_run(w.n, 20 * MH_US_PER_MS);
 	}
 	calls = mh_counter(w.e->k, "relay_calls");
@@ -481,8 +484,8 @@
 }
 
 /*
- * A pipeline that ends in encoding: the daemon built its answer from the
- * text that no stage had made, and died with every request it held.
+ * A pipeline that ends in an encode stage has no generated text.  Building the
+ * answer from that text would crash the daemon with all its requests.
  */
 static void
 test_any_stage_may_be_the_last(void)
@@ -490,8 +493,8 @@
 	struct entry_world w;
 	uint64_t id;
 
-	make(&w, 14, net_doc);
-	id = embed(&w);
+	entry_world_create(&w, 14, net_doc);
+	id = send_embed(&w);
 	net_run(w.n, MH_US_PER_S);
 	CU_ASSERT_EQUAL(net_answer(w.n, id)->status, 200);
 	CU_ASSERT_PTR_NOT_NULL(
@@ -499,19 +502,19 @@
 	net_destroy(w.n);
 }
 
-/* Given up means answered now, with the time to come back, not held back. */
+/* A request that is given up is answered at once, with Retry-After. */
 static void
-test_given_up_is_answered_at_once(void)
+test_give_up_answers_at_once(void)
 {
 	struct entry_world w;
 	int64_t at;
 	uint64_t id;
 
-	make(&w, 6, net_doc);
+	entry_world_create(&w, 6, net_doc);
 	for (int i = 0; i < 3; i++)
 		w.enc[i]->status = 500;
 	at = net_now(w.n);
-	id = embed(&w);
+	id = send_embed(&w);
 	net_run(w.n, 4 * MH_US_PER_S);
 	CU_ASSERT_EQUAL(net_answer(w.n, id)->status, 503);
 	CU_ASSERT(net_answer(w.n, id)->at_us - at < 200 * MH_US_PER_MS);
@@ -520,7 +523,7 @@
 	net_destroy(w.n);
 }
 
-/* What cannot end in time is refused at the door, with Retry-After. */
+/* A request that cannot end in time is refused at once, with Retry-After. */
 static void
 test_infeasible_is_refused_early(void)
 {
@@ -530,7 +533,7 @@
 		.deadline_us = 100 * MH_US_PER_MS };
 	uint64_t id;
 
-	make(&w, 7, net_doc);
+	entry_world_create(&w, 7, net_doc);
 	id = net_request(w.e, &a);
 	net_run(w.n, 5 * MH_US_PER_MS);
 	CU_ASSERT_EQUAL(net_answer(w.n, id)->status, 503);
@@ -540,15 +543,15 @@
 	net_destroy(w.n);
 }
 
-/* A supervisor's page closes: the engine must stop working for nobody. */
+/* When the caller disconnects, the engine must stop its work. */
 static void
-test_caller_gone_cancels_to_the_engine(void)
+test_disconnect_cancels_at_the_engine(void)
 {
 	struct entry_world w;
 	uint64_t id;
 
-	make(&w, 8, net_doc);
-	id = plan(&w, true);
+	entry_world_create(&w, 8, net_doc);
+	id = send_plan(&w, true);
 	net_run(w.n, 200 * MH_US_PER_MS);
 	CU_ASSERT_PTR_NOT_NULL(busy_llm(&w));
 	net_caller_leaves(w.e, id);
@@ -561,19 +564,19 @@
 }
 
 /*
- * A VM leaves, by its own word or by the list alone.  Within 3 s it gets no
- * new work, and what it has under way is not cut.
+ * A VM drains, as announced by itself or marked in the VM list alone.  Within
+ * 3 s it gets no new work, and its calls in flight are not cut.
  */
 static void
-test_leaving_endpoint_gets_no_work(void)
+test_draining_endpoint_gets_no_work(void)
 {
 	for (int by_list = 0; by_list < 2; by_list++) {
 		struct entry_world w;
 		uint64_t runs, ids[10];
 
-		make(&w, 9, net_doc);
+		entry_world_create(&w, 9, net_doc);
 		for (int i = 0; i < 10; i++)
-			ids[i] = plan(&w, false);
+			ids[i] = send_plan(&w, false);
 		net_run(w.n, 100 * MH_US_PER_MS);
 		if (by_list)
 			w.llm[0]->leaving = true;
@@ -582,9 +585,9 @@
 		net_run(w.n, 3 * MH_US_PER_S);
 		runs = w.llm[0]->runs;
 		for (int i = 0; i < 10; i++)
-			check_whole(&w, ids[i]);
+			check_complete(&w, ids[i]);
 		for (int i = 0; i < 30; i++) {
-			plan(&w, false);
+			send_plan(&w, false);
 			net_run(w.n, 50 * MH_US_PER_MS);
 		}
 		net_run(w.n, 3 * MH_US_PER_S);
@@ -593,37 +596,38 @@
 	}
 }
 
-/* An entry that drains finishes what it has and serves open connections. */
+/* A draining entry completes its requests and serves open connections. */
 static void
 test_draining_entry_cuts_nothing(void)
 {
 	struct entry_world w;
 	uint64_t before, after;
 
-	make(&w, 10, net_doc);
-	before = plan(&w, false);
+	entry_world_create(&w, 10, net_doc);
+	before = send_plan(&w, false);
 	net_run(w.n, 50 * MH_US_PER_MS);
 	mh_entry_drain(w.e->k, GRACE_US);
-	after = plan(&w, false);
+	after = send_plan(&w, false);
 	net_run(w.n, 3 * MH_US_PER_S);
-	check_whole(&w, before);
-	check_whole(&w, after);
+	check_complete(&w, before);
+	check_complete(&w, after);
 	CU_ASSERT_EQUAL(mh_entry_open(w.e->k), 0);
 	net_destroy(w.n);
 }
 
 /*
- * An entry is replaced.  Its port answers before it has its configuration
- * and links, the balancer sends, and callers were told 503 for nothing.
+ * An entry restarts.  Its port accepts connections before it has its
+ * configuration and links, and the load balancer sends requests.  They must
+ * wait for the startup instead of failing with 503.
  */
 static void
-test_requests_during_a_start(void)
+test_requests_during_startup(void)
 {
 	struct entry_world w;
 	struct net_ask a = { .path = "/v1/pipelines/embed" };
 	uint64_t ids[5];
 
-	make(&w, 16, net_doc);
+	entry_world_create(&w, 16, net_doc);
 	net_kill(w.e);
 	net_start(w.e);
 	for (int i = 0; i < 5; i++) {
@@ -636,7 +640,7 @@
 	net_destroy(w.n);
 }
 
-/* A request keeps the configuration that decided it. */
+/* A request keeps the configuration under which it was admitted. */
 static void
 test_request_keeps_its_generation(void)
 {
@@ -645,12 +649,12 @@
 	char *doc = g_strconcat(p[0], "{class: batch}", p[1], NULL);
 	uint64_t old, new;
 
-	make(&w, 11, net_doc);
-	old = plan(&w, false);
+	entry_world_create(&w, 11, net_doc);
+	old = send_plan(&w, false);
 	net_run(w.n, 50 * MH_US_PER_MS);
 	net_apply(w.n, 2, doc);
 	net_run(w.n, 2 * MH_US_PER_S);
-	new = plan(&w, false);
+	new = send_plan(&w, false);
 	net_run(w.n, 3 * MH_US_PER_S);
 	CU_ASSERT_STRING_EQUAL(
 	    net_answer_text(w.n, old, "class"), "interactive");
@@ -661,8 +665,8 @@
 }
 
 /*
- * Limits: 429 and Retry-After for the organisation's own quota, 400 for
- * what can never fit, and another organisation is not touched.
+ * Limits: 429 with Retry-After above the organisation's rate, 400 above its
+ * burst, and no effect on another organisation.
  */
 static void
 test_limits(void)
@@ -681,11 +685,11 @@
 	doc = g_strconcat(
 	    p[0], "{name: acme, units_per_s: 10, burst_units: 30,", p[1], NULL);
 	g_strfreev(p);
-	make(&w, 12, doc);
+	entry_world_create(&w, 12, doc);
 	for (int i = 0; i < 3; i++)
 		w.enc[i]->service_us = 3 * MH_US_PER_S;
 	for (int i = 0; i < 100; i++) {
-		id = embed(&w);
+		id = send_embed(&w);
 		net_run(w.n, MH_US_PER_MS);
 		if (net_answer(w.n, id)->status == 429) {
 			limited++;
@@ -707,8 +711,8 @@
 }
 
 /*
- * The urgent request that came last is answered before the drafts that
- * wait, whichever entry they came through.
+ * An urgent request that arrives last is answered before the queued batch
+ * requests, also if they came through another entry.
  */
 static void
 test_urgent_passes_waiting_work(void)
@@ -717,7 +721,7 @@
 	struct net_node *e1, *e2, *x;
 	struct net_ask draft = { .path = "/v1/pipelines/embed",
 		.class_asked = "batch" };
-	struct net_ask soon = { .path = "/v1/pipelines/embed" };
+	struct net_ask urgent = { .path = "/v1/pipelines/embed" };
 	uint64_t drafts[20], id;
 	int before = 0;
 
@@ -730,7 +734,7 @@
 	for (int i = 0; i < 20; i++)
 		drafts[i] = net_request(e1, &draft);
 	net_run(n, 10 * MH_US_PER_MS);
-	id = net_request(e2, &soon);
+	id = net_request(e2, &urgent);
 	net_run(n, 3 * MH_US_PER_S);
 	for (int i = 0; i < 20; i++)
 		before +=
@@ -740,7 +744,7 @@
 }
 
 static void
-give_order(struct net_node *x, uint64_t fence)
+send_order(struct net_node *x, uint64_t fence)
 {
 	struct mh_msg *m = mh_msg_new(MH_MSG_FRAME);
 	Mh__Frame f = MH__FRAME__INIT;
@@ -758,44 +762,46 @@
 }
 
 /*
- * An operator's tool is paused after it took its number; another takes a
- * higher one and loads a model.  The first wakes up and unloads it, and this
- * engine does not check numbers: the side process does.
+ * An operator's tool is paused after it took a fence number; another takes a
+ * higher one and gives its order.  When the first resumes, its order must be
+ * refused by the side process, since this engine does not check the numbers.
  */
 static void
 test_old_orders_are_fenced(void)
 {
 	struct entry_world w;
 
-	make(&w, 15, net_doc);
-	give_order(w.llm[0], 7);
-	give_order(w.llm[0], 6);
+	entry_world_create(&w, 15, net_doc);
+	send_order(w.llm[0], 7);
+	send_order(w.llm[0], 6);
 	CU_ASSERT_EQUAL(w.llm[0]->runs, 1);
 	CU_ASSERT_EQUAL(mh_counter(w.llm[0]->k, "side_orders_fenced"), 1);
-	give_order(w.llm[0], 8);
+	send_order(w.llm[0], 8);
 	CU_ASSERT_EQUAL(w.llm[0]->runs, 2);
 	net_destroy(w.n);
 }
 
 const struct test tests_entry[] = {
 	{ "stream_over_a_silent_link", test_stream_over_a_silent_link },
-	{ "stream_goes_on_elsewhere", test_stream_goes_on_elsewhere },
-	{ "stream_of_a_call_that_is_gone", test_stream_of_a_call_that_is_gone },
-	{ "stream_of_more_than_was_asked", test_stream_of_more_than_was_asked },
-	{ "lost_end_mark_of_a_whole_text", test_lost_end_mark_of_a_whole_text },
-	{ "doubled_and_late_frames", test_doubled_and_late_frames },
-	{ "streams_in_trouble", test_streams_in_trouble },
+	{ "stream_failover", test_stream_failover },
+	{ "stream_of_an_ended_call", test_stream_of_an_ended_call },
+	{ "stream_of_surplus_tokens", test_stream_of_surplus_tokens },
+	{ "lost_end_mark_of_a_complete_text",
+	    test_lost_end_mark_of_a_complete_text },
+	{ "duplicate_and_delayed_frames", test_duplicate_and_delayed_frames },
+	{ "streams_under_faults", test_streams_under_faults },
 	{ "hedge_around_a_straggler", test_hedge_around_a_straggler },
-	{ "hedge_goes_on_alone", test_hedge_goes_on_alone },
-	{ "retries_keep_to_their_budget", test_retries_keep_to_their_budget },
+	{ "hedge_after_failed_first_call", test_hedge_after_failed_first_call },
+	{ "retries_within_budget", test_retries_within_budget },
 	{ "any_stage_may_be_the_last", test_any_stage_may_be_the_last },
-	{ "given_up_is_answered_at_once", test_given_up_is_answered_at_once },
+	{ "give_up_answers_at_once", test_give_up_answers_at_once },
 	{ "infeasible_is_refused_early", test_infeasible_is_refused_early },
-	{ "caller_gone_cancels_to_the_engine",
-	    test_caller_gone_cancels_to_the_engine },
-	{ "leaving_endpoint_gets_no_work", test_leaving_endpoint_gets_no_work },
+	{ "disconnect_cancels_at_the_engine",
+	    test_disconnect_cancels_at_the_engine },
+	{ "draining_endpoint_gets_no_work",
+	    test_draining_endpoint_gets_no_work },
 	{ "draining_entry_cuts_nothing", test_draining_entry_cuts_nothing },
-	{ "requests_during_a_start", test_requests_during_a_start },
+	{ "requests_during_startup", test_requests_during_startup },
 	{ "request_keeps_its_generation", test_request_keeps_its_generation },
 	{ "limits", test_limits },
 	{ "old_orders_are_fenced", test_old_orders_are_fenced },
--- a/regress/t_session.c
+++ b/regress/t_session.c
@@ -1,7 +1,7 @@
 /**
- * DOC: Whole sessions in virtual time against golden files: request, rule,
- * stages, answer and log.  Set MARLHOIST_GOLDEN=write to write them anew
- * and read the difference before committing it.
+ * DOC: Complete sessions in virtual time, compared with golden files: request,
+ * rule, stages, answer and log.  MARLHOIST_GOLDEN=write rewrites the files;
+ * review the difference before committing it.
  */
 
 #include "golden.h"
@@ -12,7 +12,7 @@
 #include <string.h>
 
 static struct net *
-world(void)
+session_net(void)
 {
 	struct net *n = net_create(7);
 
@@ -26,7 +26,7 @@
 }
 
 static void
-add(GString *out, struct net *n, const char *what, uint64_t caller)
+add_answer(GString *out, struct net *n, const char *what, uint64_t caller)
 {
 	struct net_answer *a = net_answer(n, caller);
 
@@ -38,7 +38,7 @@
 static void
 test_golden_plain(void)
 {
-	struct net *n = world();
+	struct net *n = session_net();
 	struct net_node *e = net_entry(n, "entry1", "a");
 	GString *out = g_string_new(NULL);
 	struct net_ask plan = { .path = "/v1/pipelines/plan",
@@ -65,12 +65,12 @@
 	ids[4] = net_request(e, &refused);
 	ids[5] = net_request(e, &lookup);
 	net_run(n, MH_US_PER_S);
-	add(out, n, "plan", ids[0]);
-	add(out, n, "confirm", ids[1]);
-	add(out, n, "confirm again", ids[2]);
-	add(out, n, "wrong key", ids[3]);
-	add(out, n, "refused by rule", ids[4]);
-	add(out, n, "outcome", ids[5]);
+	add_answer(out, n, "plan", ids[0]);
+	add_answer(out, n, "confirm", ids[1]);
+	add_answer(out, n, "confirm again", ids[2]);
+	add_answer(out, n, "wrong key", ids[3]);
+	add_answer(out, n, "refused by rule", ids[4]);
+	add_answer(out, n, "outcome", ids[5]);
 	g_string_append_printf(out, "runs of order-17: %u\nlog:\n%s",
 	    net_runs(n, "acme/order-17"), n->log->str);
 	golden_compare("plain", out->str);
@@ -81,7 +81,7 @@
 static void
 test_golden_stream(void)
 {
-	struct net *n = world();
+	struct net *n = session_net();
 	struct net_node *e = net_entry(n, "entry1", "a");
 	GString *out = g_string_new(NULL);
 	struct net_ask plan = { .path = "/v1/pipelines/plan",
@@ -91,24 +91,24 @@
 	net_run(n, 4 * MH_US_PER_S);
 	id = net_request(e, &plan);
 	net_run(n, MH_US_PER_S);
-	add(out, n, "stream", id);
+	add_answer(out, n, "stream", id);
 	golden_compare("stream", out->str);
 	g_string_free(out, TRUE);
 	net_destroy(n);
 }
 
-struct bad {
+struct bad_request {
 	const char *method;
 	const char *path;
 	const char *key;
-	const char *once;
+	const char *idem_key;
 	const char *body;
 	uint32_t status;
 	const char *title;
 	const char *outcome;
 };
 
-static const struct bad bads[] = {
+static const struct bad_request bad_requests[] = {
 	{ "POST", "/v1/pipelines/plan", "", NULL, NULL, 401, "no-right",
 	    "not-run" },
 	{ "POST", "/v1/pipelines/none", NULL, NULL, NULL, 404, "no-pipeline",
@@ -143,24 +143,25 @@
 static void
 test_bad_requests(void)
 {
-	struct net *n = world();
+	struct net *n = session_net();
 	struct net_node *e = net_entry(n, "entry1", "a");
 
 	net_run(n, 4 * MH_US_PER_S);
-	for (size_t i = 0; i < G_N_ELEMENTS(bads); i++) {
-		struct net_ask a = { .method = bads[i].method,
-			.path = bads[i].path,
-			.key = bads[i].key,
-			.once = bads[i].once,
-			.body = bads[i].body };
+	for (size_t i = 0; i < G_N_ELEMENTS(bad_requests); i++) {
+		struct net_ask a = { .method = bad_requests[i].method,
+			.path = bad_requests[i].path,
+			.key = bad_requests[i].key,
+			.once = bad_requests[i].idem_key,
+			.body = bad_requests[i].body };
 		uint64_t id = net_request(e, &a);
 
 		net_run(n, 100 * MH_US_PER_MS);
-		CU_ASSERT_EQUAL(net_answer(n, id)->status, bads[i].status);
+		CU_ASSERT_EQUAL(
+		    net_answer(n, id)->status, bad_requests[i].status);
 		CU_ASSERT_STRING_EQUAL(
-		    net_answer_text(n, id, "title"), bads[i].title);
+		    net_answer_text(n, id, "title"), bad_requests[i].title);
 		CU_ASSERT_STRING_EQUAL(
-		    net_answer_text(n, id, "outcome"), bads[i].outcome);
+		    net_answer_text(n, id, "outcome"), bad_requests[i].outcome);
 		CU_ASSERT(strlen(net_answer_text(n, id, "remedy")) > 0);
 	}
 	net_destroy(n);
