--- a/lib/entry.c
+++ b/lib/entry.c
@@ -314,9 +314,9 @@
 static bool
 apply_rules(struct entry *e, const struct mh_request_msg *m, struct request *r)
 {
-	struct mh_ask in = { .org = r->org->name,
+	struct mh_rule_input in = { .org = r->org->name,
 		.pipeline = m->path + strlen(PREFIX_PIPELINES),
-		.class_asked = m->class_asked,
+		.class_name = m->class_asked,
 		.labels = m->labels,
 		.wall_us = mh_wall(e->k),
 		.deadline_us = m->deadline_us };
@@ -382,7 +382,7 @@
 		.kind = "over-limit",
 		.detail = "The organisation's or key's limit is used up.",
 		.remedy = "Ask again after Retry-After." };
-	int64_t wait = mh_limit_take(e->k, who, pipe_units(r), &r->ticket);
+	int64_t wait = mh_limit_reserve(e->k, who, pipe_units(r), &r->ticket);
 
 	if (wait == 0)
 		return true;
@@ -460,8 +460,8 @@
 		.remedy = "Change the request, or ask again after "
 			  "Retry-After." };
 
-	r->print = fingerprint(m, r->org);
-	p.retry_us = mh_poison_quarantine_us(e->k, r->print);
+	r->fingerprint = fingerprint(m, r->org);
+	p.retry_us = mh_poison_quarantine_us(e->k, r->fingerprint);
 	if (p.retry_us == 0)
 		return true;
 	mh_count(e->k, "entry_held", 1);
@@ -478,7 +478,7 @@
 	for (GList *l = all; l != NULL; l = l->next) {
 		struct request *r = l->data;
 
-		if (r->print == fingerprint)
+		if (r->fingerprint == fingerprint)
 			pipe_quarantine(r);
 	}
 	g_list_free(all);
@@ -651,7 +651,7 @@
 }
 
 uint32_t
-mh_entry_open(struct mh_kern *k)
+mh_entry_active_count(struct mh_kern *k)
 {
 	struct entry *e = get(k);
 
@@ -678,8 +678,8 @@
 
 	return json_pack("{s:b, s:i, s:i, s:f, s:o}", "draining", e->draining,
 	    "requests", (int)g_hash_table_size(e->requests), "calls",
-	    (int)mh_relay_open(k), "retry_budget", e->retry_budget, "evacuated",
-	    evacuated_state(k));
+	    (int)mh_relay_active_count(k), "retry_budget", e->retry_budget,
+	    "evacuated", evacuated_state(k));
 }
 
 static void
--- a/lib/entry.h
+++ b/lib/entry.h
@@ -22,7 +22,7 @@
 	struct entry *e;
 	uint8_t id[MH_ID_LEN];
 	char *id_text;
-	uint64_t print; /* equal for identical requests, see poison.h */
+	uint64_t fingerprint; /* equal for identical requests, see poison.h */
 	uint64_t caller; /* the http service's id of the request */
 	struct mh_decl *decl;
 	struct mh_decision d;
--- a/lib/limit.c
+++ b/lib/limit.c
@@ -147,8 +147,8 @@
 }
 
 int64_t
-mh_limit_take(struct mh_kern *k, const struct mh_key_owner *who, double units,
-    struct mh_limit_ticket *t)
+mh_limit_reserve(struct mh_kern *k, const struct mh_key_owner *who,
+    double units, struct mh_limit_ticket *t)
 {
 	struct limit *l = mh_kern_get(k, "limit");
 	const struct mh_org *org = who->org;
--- a/lib/marlhoist.h
+++ b/lib/marlhoist.h
@@ -474,11 +474,11 @@
 
 /* rules.c */
 
-/** struct mh_ask - the properties of a request that rules match. */
-struct mh_ask {
+/** struct mh_rule_input - the properties of a request that rules match. */
+struct mh_rule_input {
 	const char *org;
 	const char *pipeline;
-	const char *class_asked;
+	const char *class_name;
 	const char *model;
 	GHashTable *labels;
 	int64_t wall_us;
@@ -496,10 +496,10 @@
 	uint32_t max_tokens;
 };
 
-void mh_rules_decide(
-    const struct mh_decl *d, const struct mh_ask *in, struct mh_decision *out);
+void mh_rules_decide(const struct mh_decl *d, const struct mh_rule_input *in,
+    struct mh_decision *out);
 /** mh_rules_explain() - a line per rule up to the first match; g_free() it. */
-char *mh_rules_explain(const struct mh_decl *d, const struct mh_ask *in);
+char *mh_rules_explain(const struct mh_decl *d, const struct mh_rule_input *in);
 
 /* conf.c: service "conf" */
 
@@ -757,8 +757,8 @@
 /** mh_relay_cancel() - cancels and frees @c; no event follows. */
 void mh_relay_cancel(struct mh_kern *k, struct mh_call *c);
 struct mh_peer *mh_call_peer(const struct mh_call *c);
-/** mh_relay_open() - number of calls in flight. */
-uint32_t mh_relay_open(struct mh_kern *k);
+/** mh_relay_active_count() - number of calls in flight. */
+uint32_t mh_relay_active_count(struct mh_kern *k);
 
 /* owner.c: the owners' table, on entries and side processes */
 
@@ -802,12 +802,12 @@
 
 void mh_limit_create(struct mh_kern *k, const char *vm);
 /**
- * mh_limit_take() - reserves @units and a stream.
+ * mh_limit_reserve() - reserves @units and a stream.
  *
  * Return: 0 if reserved, the microseconds to wait before a retry, or -1 if
  * @units are more than the limits can ever allow.
  */
-int64_t mh_limit_take(struct mh_kern *k, const struct mh_key_owner *who,
+int64_t mh_limit_reserve(struct mh_kern *k, const struct mh_key_owner *who,
     double units, struct mh_limit_ticket *t);
 /** mh_limit_settle() - returns the unused units and the stream; clears @t. */
 void mh_limit_settle(struct mh_kern *k, struct mh_limit_ticket *t, double used);
@@ -847,8 +847,8 @@
  */
 void mh_entry_drain(struct mh_kern *k, int64_t grace_us);
 bool mh_entry_draining(struct mh_kern *k);
-/** mh_entry_open() - number of callers that wait for a response. */
-uint32_t mh_entry_open(struct mh_kern *k);
+/** mh_entry_active_count() - number of callers that wait for a response. */
+uint32_t mh_entry_active_count(struct mh_kern *k);
 json_t *mh_entry_state(struct mh_kern *k);
 
 /* queue.c */
--- a/lib/pick.c
+++ b/lib/pick.c
@@ -70,7 +70,8 @@
 
 	if (s->never)
 		return pick_owner(r, s);
-	q.isolation_hash = mh_poison_isolation_hash(r->e->k, r->print, s->pool);
+	q.isolation_hash =
+	    mh_poison_isolation_hash(r->e->k, r->fingerprint, s->pool);
 	if (r->picks > 0) {
 		q.avoid_vm = r->last_vm;
 		q.avoid_domain = r->last_domain;
--- a/lib/pipe.c
+++ b/lib/pipe.c
@@ -224,7 +224,7 @@
 		give_up(r, p.detail, 0);
 		return;
 	}
-	p.retry_us = mh_poison_quarantine_us(r->e->k, r->print);
+	p.retry_us = mh_poison_quarantine_us(r->e->k, r->fingerprint);
 	if (!r->key_given && (r->maybe_ran || r->attempts > 0)) {
 		p.status = 502;
 		p.outcome = "failed";
@@ -398,7 +398,7 @@
 	if ((not_run && refused_permanently(r, res)) || complete_text(r, p))
 		return;
 	if (res->reason == WHY_HELD ||
-	    mh_poison_quarantine_us(r->e->k, r->print) > 0) {
+	    mh_poison_quarantine_us(r->e->k, r->fingerprint) > 0) {
 		pipe_quarantine(r);
 		return;
 	}
@@ -595,7 +595,8 @@
 
 	r->hedge_timer = NULL;
 	/* A suspected poison request runs at one endpoint at a time. */
-	if (mh_poison_isolation_hash(r->e->k, r->print, stage_of(r)->pool) != 0)
+	if (mh_poison_isolation_hash(
+		r->e->k, r->fingerprint, stage_of(r)->pool) != 0)
 		return;
 	if (running_tries(r) != 1 || r->picks >= MAX_PICKS ||
 	    mh_route_usable(r->e->k, stage_of(r)->pool) < 2 || !spend_budget(r))
@@ -670,7 +671,7 @@
 		.path = mh_stage_path(s),
 		.stream = s->kind == MH_GENERATE,
 		.at_most_once = s->never,
-		.fingerprint = r->print };
+		.fingerprint = r->fingerprint };
 
 	if (s->kind == MH_GENERATE && r->d.model != NULL)
 		model = r->d.model;
--- a/lib/relay.c
+++ b/lib/relay.c
@@ -234,7 +234,7 @@
 }
 
 uint32_t
-mh_relay_open(struct mh_kern *k)
+mh_relay_active_count(struct mh_kern *k)
 {
 	struct relay *r = mh_kern_get(k, "relay");
 
--- a/lib/rules.c
+++ b/lib/rules.c
@@ -55,13 +55,13 @@
 
 /* Returns why the rule does not match, or NULL if it does. */
 static const char *
-mismatch(const struct mh_rule *r, const struct mh_ask *in)
+mismatch(const struct mh_rule *r, const struct mh_rule_input *in)
 {
 	if (!in_names(r->when.organisations, in->org))
 		return "organisation differs";
 	if (!in_names(r->when.pipelines, in->pipeline))
 		return "pipeline differs";
-	if (!in_names(r->when.classes, in->class_asked))
+	if (!in_names(r->when.classes, in->class_name))
 		return "class asked differs";
 	if (!in_names(r->when.models, in->model))
 		return "model differs";
@@ -74,7 +74,7 @@
 
 static void
 apply_rule(const struct mh_decl *d, const struct mh_rule *r,
-    const struct mh_ask *in, struct mh_decision *out)
+    const struct mh_rule_input *in, struct mh_decision *out)
 {
 	out->rule = r;
 	out->refuse = r->then.refuse;
@@ -94,8 +94,8 @@
 }
 
 void
-mh_rules_decide(
-    const struct mh_decl *d, const struct mh_ask *in, struct mh_decision *out)
+mh_rules_decide(const struct mh_decl *d, const struct mh_rule_input *in,
+    struct mh_decision *out)
 {
 	memset(out, 0, sizeof(*out));
 	out->pipeline = mh_decl_pipeline(d, in->pipeline);
@@ -111,7 +111,7 @@
 }
 
 char *
-mh_rules_explain(const struct mh_decl *d, const struct mh_ask *in)
+mh_rules_explain(const struct mh_decl *d, const struct mh_rule_input *in)
 {
 	GString *s = g_string_new(NULL);
 
--- a/marlctl/diff.c
+++ b/marlctl/diff.c
@@ -19,7 +19,7 @@
 }
 
 static char *
-describe(const struct mh_decl *d, const struct mh_ask *a)
+describe(const struct mh_decl *d, const struct mh_rule_input *a)
 {
 	struct mh_decision out;
 
@@ -40,14 +40,14 @@
 
 static guint
 compare(const struct mh_decl *old, const struct mh_decl *new,
-    const struct mh_ask *a, guint shown)
+    const struct mh_rule_input *a, guint shown)
 {
 	char *was = describe(old, a), *is = describe(new, a);
 	bool differs = strcmp(was, is) != 0;
 
 	if (differs && shown < MAX_SHOWN)
 		printf("organisation=%s pipeline=%s class=%s\n- %s\n+ %s\n",
-		    a->org, a->pipeline, name_of(a->class_asked), was, is);
+		    a->org, a->pipeline, name_of(a->class_name), was, is);
 	g_free(was);
 	g_free(is);
 	return differs;
@@ -57,16 +57,16 @@
 compare_org(const struct mh_decl *old, const struct mh_decl *new,
     const char *org, guint shown)
 {
-	struct mh_ask a = { .org = org };
+	struct mh_rule_input a = { .org = org };
 	guint n = 0;
 
 	for (guint i = 0; i < new->pipelines->len; i++) {
 		a.pipeline =
 		    ((struct mh_pipeline *)new->pipelines->pdata[i])->name;
-		a.class_asked = NULL;
+		a.class_name = NULL;
 		n += compare(old, new, &a, shown + n);
 		for (guint j = 0; j < new->classes->len; j++) {
-			a.class_asked =
+			a.class_name =
 			    ((struct mh_class *)new->classes->pdata[j])->name;
 			n += compare(old, new, &a, shown + n);
 		}
--- a/marlctl/marlctl.c
+++ b/marlctl/marlctl.c
@@ -182,9 +182,9 @@
 run_explain(const struct options *o, const char *const *args)
 {
 	struct mh_decl *d = read_decl(args[0]);
-	struct mh_ask ask = { .org = o->org,
+	struct mh_rule_input ask = { .org = o->org,
 		.pipeline = o->pipeline,
-		.class_asked = o->class_asked,
+		.class_name = o->class_asked,
 		.model = o->model,
 		.wall_us = g_get_real_time() };
 	char *text;
--- a/marlhoistd/marlhoistd.c
+++ b/marlhoistd/marlhoistd.c
@@ -42,5 +42,5 @@
 static bool
 idle(struct mh_daemon *d)
 {
-	return mh_entry_open(d->k) == 0;
+	return mh_entry_active_count(d->k) == 0;
 }
--- a/regress/t_decl.c
+++ b/regress/t_decl.c
@@ -113,7 +113,7 @@
 {
 	GError *err = NULL;
 	struct mh_decl *d = read_text(net_doc, &err);
-	struct mh_ask ask = { .org = "acme", .pipeline = "confirm" };
+	struct mh_rule_input ask = { .org = "acme", .pipeline = "confirm" };
 	struct mh_decision out;
 	char *why;
 
@@ -121,7 +121,7 @@
 	mh_rules_decide(d, &ask, &out);
 	CU_ASSERT_STRING_EQUAL(out.rule->name, "first");
 	CU_ASSERT_EQUAL(out.deadline_us, 2000 * MH_US_PER_MS);
-	ask.class_asked = "batch";
+	ask.class_name = "batch";
 	mh_rules_decide(d, &ask, &out);
 	CU_ASSERT_STRING_EQUAL(out.rule->name, "closed");
 	CU_ASSERT_PTR_NOT_NULL(out.refuse);
@@ -145,7 +145,7 @@
 	    "pipeline: [confirm]", "from_minute: 1320, to_minute: 360");
 	GError *err = NULL;
 	struct mh_decl *d = read_text(text, &err);
-	struct mh_ask ask = { .org = "acme", .pipeline = "plan" };
+	struct mh_rule_input ask = { .org = "acme", .pipeline = "plan" };
 	struct mh_decision out;
 
 	CU_ASSERT_PTR_NOT_NULL_FATAL(d);
--- a/regress/t_drain.c
+++ b/regress/t_drain.c
@@ -169,10 +169,10 @@
 	net_run(w.n, 10 * MH_US_PER_MS);
 	mh_entry_drain(w.e[0]->k, GRACE_US);
 	CU_ASSERT_FALSE(net_response(w.n, id)->ended);
-	CU_ASSERT_EQUAL(mh_entry_open(w.e[0]->k), 1);
+	CU_ASSERT_EQUAL(mh_entry_active_count(w.e[0]->k), 1);
 	net_run(w.n, 2 * MH_US_PER_S);
 	CU_ASSERT_TRUE(net_response(w.n, id)->ended);
-	CU_ASSERT_EQUAL(mh_entry_open(w.e[0]->k), 0);
+	CU_ASSERT_EQUAL(mh_entry_active_count(w.e[0]->k), 0);
 	net_destroy(w.n);
 }
 
--- a/regress/t_entry.c
+++ b/regress/t_entry.c
@@ -561,7 +561,7 @@
 	CU_ASSERT_PTR_NULL(busy_llm(&w));
 	CU_ASSERT_EQUAL(
 	    w.llm[0]->aborts + w.llm[1]->aborts + w.llm[2]->aborts, 1);
-	CU_ASSERT_EQUAL(mh_entry_open(w.e->k), 0);
+	CU_ASSERT_EQUAL(mh_entry_active_count(w.e->k), 0);
 	net_destroy(w.n);
 }
 
@@ -613,7 +613,7 @@
 	net_run(w.n, 3 * MH_US_PER_S);
 	check_complete(&w, before);
 	check_complete(&w, after);
-	CU_ASSERT_EQUAL(mh_entry_open(w.e->k), 0);
+	CU_ASSERT_EQUAL(mh_entry_active_count(w.e->k), 0);
 	net_destroy(w.n);
 }
 
--- a/regress/t_grace.c
+++ b/regress/t_grace.c
@@ -81,7 +81,7 @@
 drain_to_exit(struct net_node *x, int64_t waited, int64_t grace_us)
 {
 	while (waited < LINGER_US ||
-	    (mh_entry_open(x->k) > 0 && waited < grace_us - EXIT_US)) {
+	    (mh_entry_active_count(x->k) > 0 && waited < grace_us - EXIT_US)) {
 		net_run(x->net, CHECK_US);
 		waited += CHECK_US;
 	}
@@ -353,7 +353,7 @@
 	mh_side_drain(w.side->k, GRACE_US);
 	exit_us = net_now(w.n) + GRACE_US - EXIT_US;
 	net_run(w.n, GRACE_US - EXIT_US);
-	CU_ASSERT_EQUAL(mh_relay_open(w.e[0]->k), 0);
+	CU_ASSERT_EQUAL(mh_relay_active_count(w.e[0]->k), 0);
 	net_kill(w.side);
 	net_run(w.n, CALL_US);
 	check_answer(w.n, runs, "unknown", exit_us);
--- a/regress/t_nodes.c
+++ b/regress/t_nodes.c
@@ -380,7 +380,7 @@
 		struct mh_limit_ticket t = { .org = NULL };
 
 		net_tick(e);
-		if (mh_limit_take(e->k, key, 10, &t) == 0) {
+		if (mh_limit_reserve(e->k, key, 10, &t) == 0) {
 			mh_limit_settle(e->k, &t, 10);
 			units += i >= 4000 ? 10 : 0;
 		}
