--- a/lib/claim.c
+++ b/lib/claim.c
@@ -1,13 +1,14 @@
 /**
- * DOC: Which at-most-once partitions this side process owns.
+ * DOC: The at-most-once partitions that this side process owns.
  *
- * The table stands in the KV service and changes only by compare-and-swap,
- * only on a change of membership.  Ownership does not lapse, so an outage
- * of the KV service moves nothing and stops nothing.  It moves in three
- * ways: hand-over by the owner (drain, balance), reclaim by the same VM
- * after a restart, and takeover from a VM that is gone from the VM list.
- * A paused or unreachable owner that is still listed keeps its partitions:
- * it may be between the check and the call.
+ * The owner table is in the KV service, is changed only by compare-and-swap and
+ * only when the membership changes.  Ownership does not expire, so during an
+ * outage of the KV service owners keep their partitions and serve them.  A
+ * partition changes its owner in three ways: handover by the owner (drain,
+ * balancing), reclaim by the same VM after a restart, and takeover from a VM
+ * that was removed from the VM list.  A paused or unreachable owner that is
+ * still listed keeps its partitions: it may have checked its ownership and be
+ * about to start the call.
  */
 
 #include "marlhoist.h"
@@ -15,57 +16,63 @@
 #include <string.h>
 
 #define TICK_US (100 * MH_US_PER_MS)
-#define WATCH_US (20 * MH_US_PER_S)
+#define WATCH_WAIT_US (20 * MH_US_PER_S)
 #define BACKOFF_US (400 * MH_US_PER_MS)
-#define SETTLE_US (1 * MH_US_PER_S) /* before balancing after a start */
-#define MOVE_US (2 * MH_US_PER_S) /* a hand-over that takes longer stops */
-#define MOVE_AGAIN_US (5 * MH_US_PER_S)
+#define START_DELAY_US (1 * MH_US_PER_S) /* before balancing after a start */
+#define HANDOVER_TIMEOUT_US (2 * MH_US_PER_S)
+#define HANDOVER_RETRY_US (5 * MH_US_PER_S)
 /*
- * Between our word on a hand-over and the KV service's news of it: three tries
- * of the old owner's write, 2 s each (kv.c), their backoffs, and a reading.
+ * Time from our acknowledgement of a handover until we read the new table:
+ * three attempts of the old owner's write, 2 s each (kv.c), their backoffs, and
+ * a read.
  */
-#define COMING_US (10 * MH_US_PER_S)
-#define MAX_ROWS_BYTES (1U << 20) /* of a hand-over, without answers */
+#define INCOMING_TIMEOUT_US (10 * MH_US_PER_S)
+#define MAX_ROWS_BYTES (1U << 20) /* of a handover, without bodies */
 #define MAX_BODIES_BYTES (2U << 20)
 #define ROW_OVERHEAD 64
-#define MAX_MOVES 4 /* partitions on their way out at once */
+#define MAX_HANDOVERS 4 /* at once; any number while draining */
 
-enum move { MOVE_NONE, MOVE_EMPTYING, MOVE_SENT, MOVE_ACKED };
+enum handover {
+	HANDOVER_NONE,
+	HANDOVER_PREPARING,
+	HANDOVER_SENT,
+	HANDOVER_ACKED
+};
 
 struct part_state {
 	bool open; /* the ledger is open: confirmed as owner */
-	int busy; /* calls under way */
-	enum move move;
+	int busy; /* calls in flight */
+	enum handover handover;
 	char *target;
 	uint64_t target_inc;
-	int64_t move_at_us;
-	int64_t again_at_us; /* no balancing move before this */
-	uint64_t serial; /* of the hand-over sent */
-	int64_t move_bound_ms; /* the bound that goes with it */
-	uint64_t got_epoch; /* of the hand-over received */
-	uint64_t got_serial;
-	int64_t got_at_us;
+	int64_t handover_started_us;
+	int64_t balance_after_us; /* no handover for balancing before */
+	uint64_t serial; /* of the handover sent */
+	int64_t sent_bound_ms; /* bound of the partition at its new owner */
+	uint64_t recv_epoch; /* of the handover received */
+	uint64_t recv_serial;
+	int64_t received_us;
 };
 
 struct claim {
 	struct mh_kern *k;
 	char *vm;
 	char *pool;
-	char *name; /* in the KV */
+	char *name; /* key of the table in the KV service */
 	uint64_t inc;
 	struct mh_ledger *ledger;
 	struct mh_owners *owners;
 	struct part_state part[MH_PARTITIONS];
-	bool loaded; /* the KV was read */
+	bool loaded; /* the table was read at least once */
 	bool fresh; /* read since the last write */
-	bool reachable; /* the KV's last call was answered */
+	bool reachable; /* the last KV call succeeded */
 	bool draining;
-	uint64_t index; /* watched up to here */
+	uint64_t index; /* the watch waits for a later one */
 	uint64_t cas; /* the table's modify index */
-	uint64_t watch; /* token, 0: none under way */
+	uint64_t watch; /* token of the call in flight, 0: none */
 	uint64_t put;
-	int64_t kv_at_us;
-	int64_t watched_us; /* when the watch was last asked for */
+	int64_t kv_next_us;
+	int64_t watch_started_us;
 	int64_t started_us;
 	struct mh_timer *tick;
 };
@@ -77,30 +84,30 @@
 }
 
 static bool
-mine(const struct claim *c, const struct mh_part *t)
+is_own(const struct claim *c, const struct mh_part *t)
 {
 	return t->incarnation == c->inc && strcmp(t->vm, c->vm) == 0;
 }
 
 bool
-mh_claim_knows(struct mh_kern *k, uint32_t p)
+mh_claim_exclusive(struct mh_kern *k, uint32_t p)
 {
 	struct claim *c = get(k);
 
 	if (p >= MH_PARTITIONS)
 		return false;
 	/*
-	 * A VM that the platform dropped from its list may be taken over:
-	 * its process, if it still runs, starts nothing more.
+	 * The partitions of a VM that was removed from the VM list may be
+	 * taken over.  If its process still runs, it must start no calls.
 	 */
-	return c->part[p].open && c->part[p].move == MOVE_NONE &&
-	    mine(c, mh_owners_part(c->owners, p)) && !mh_member_dropped(k);
+	return c->part[p].open && c->part[p].handover == HANDOVER_NONE &&
+	    is_own(c, mh_owners_part(c->owners, p)) && !mh_member_dropped(k);
 }
 
 bool
 mh_claim_owns(struct mh_kern *k, uint32_t p, uint64_t epoch)
 {
-	return mh_claim_knows(k, p) &&
+	return mh_claim_exclusive(k, p) &&
 	    mh_owners_part(get(k)->owners, p)->epoch == epoch;
 }
 
@@ -117,15 +124,16 @@
 }
 
 /*
- * The old owner has our word and is about to write our name into the table.  A
- * process that ended before it read so would take the rows with it.  One whose
- * word was lost is not told: the old owner takes the move back and stays.
+ * True if we acknowledged a handover and do not own the partition yet: the old
+ * owner is about to enter us in the table.  If we exited before reading that,
+ * the rows would be lost.  The wait is limited because, if our acknowledgement
+ * was lost, the old owner cancels the handover without telling us.
  */
 static bool
-coming(const struct claim *c, uint32_t p)
+incoming(const struct claim *c, uint32_t p)
 {
-	return c->part[p].got_epoch > mh_owners_part(c->owners, p)->epoch &&
-	    mh_now(c->k) - c->part[p].got_at_us < COMING_US;
+	return c->part[p].recv_epoch > mh_owners_part(c->owners, p)->epoch &&
+	    mh_now(c->k) - c->part[p].received_us < INCOMING_TIMEOUT_US;
 }
 
 uint32_t
@@ -135,12 +143,12 @@
 	uint32_t n = 0;
 
 	for (uint32_t p = 0; p < MH_PARTITIONS; p++)
-		n += mine(c, mh_owners_part(c->owners, p)) || coming(c, p);
+		n += is_own(c, mh_owners_part(c->owners, p)) || incoming(c, p);
 	return n;
 }
 
 static bool
-active(struct claim *c)
+pool_is_service(struct claim *c)
 {
 	struct mh_decl *d = mh_conf_get(c->k);
 	struct mh_pool *p = d == NULL ? NULL : mh_decl_pool(d, c->pool);
@@ -155,13 +163,13 @@
 }
 
 static int64_t
-fresh_bound(struct claim *c)
+new_bound(struct claim *c)
 {
 	return now_ms(c) + mh_conf_get(c->k)->policy.skew_us / MH_US_PER_MS;
 }
 
 static const char *
-winner(struct claim *c, uint32_t p)
+preferred_side(struct claim *c, uint32_t p)
 {
 	char what[64];
 
@@ -170,36 +178,36 @@
 }
 
 static void
-kv(struct claim *c, enum mh_kv_op op, GBytes *value, uint64_t *token)
+kv_call(struct claim *c, enum mh_kv_op op, GBytes *value, uint64_t *token)
 {
 	struct mh_msg *m = mh_msg_new(MH_MSG_KV);
 
 	*token = mh_next_id(c->k);
 	if (op == MH_KV_WATCH)
-		c->watched_us = mh_now(c->k);
+		c->watch_started_us = mh_now(c->k);
 	m->u.kv.op = op;
 	m->u.kv.token = *token;
 	m->u.kv.from = g_strdup("claim");
 	m->u.kv.name = g_strdup(c->name);
 	m->u.kv.index = c->index;
 	m->u.kv.cas = c->cas;
-	m->u.kv.wait_us = WATCH_US;
+	m->u.kv.wait_us = WATCH_WAIT_US;
 	m->u.kv.value = value;
 	mh_count(c->k, "claim_kv_calls", 1);
 	mh_post(c->k, "kv", m);
 }
 
 static void
-stop_move(struct claim *c, uint32_t p)
+end_handover(struct claim *c, uint32_t p)
 {
-	c->part[p].move = MOVE_NONE;
-	c->part[p].again_at_us = mh_now(c->k) + MOVE_AGAIN_US;
+	c->part[p].handover = HANDOVER_NONE;
+	c->part[p].balance_after_us = mh_now(c->k) + HANDOVER_RETRY_US;
 	g_free(c->part[p].target);
 	c->part[p].target = NULL;
 }
 
 static void
-tell_entry(void *arg, struct mh_peer *p)
+send_table(void *arg, struct mh_peer *p)
 {
 	struct claim *c = arg;
 
@@ -207,39 +215,39 @@
 		mh_owners_send(c->k, c->owners, p->conn);
 }
 
-/* The KV's table was read or written: open and close ledgers by it. */
+/* Opens and closes ledger partitions by the table just read. */
 static void
 apply_table(struct claim *c)
 {
 	for (uint32_t p = 0; p < MH_PARTITIONS; p++) {
 		const struct mh_part *t = mh_owners_part(c->owners, p);
 		struct part_state *s = &c->part[p];
-		bool own = mine(c, t);
+		bool owned = is_own(c, t);
 
-		if (own && !s->open) {
+		if (owned && !s->open) {
 			/*
-			 * Rows of a hand-over that was taken back are stale:
-			 * the old owner went on, and a key refused in them
-			 * may have run since.
+			 * The rows of a cancelled handover are stale: the
+			 * old owner continued, and a key that they show
+			 * as refused may have run since.
 			 */
-			if (s->got_epoch != t->epoch)
+			if (s->recv_epoch != t->epoch)
 				mh_ledger_close(c->ledger, p);
 			mh_ledger_open(c->ledger, p, t->bound_ms);
 			s->open = true;
 			mh_count(c->k, "claim_gained", 1);
-		} else if (!own && s->open) {
+		} else if (!owned && s->open) {
 			mh_ledger_close(c->ledger, p);
 			s->open = false;
-			stop_move(c, p);
+			end_handover(c, p);
 			mh_count(c->k, "claim_given", 1);
 		}
 	}
-	mh_member_each(c->k, tell_entry, c);
+	mh_member_each(c->k, send_table, c);
 }
 
 /*
- * What this process may change in the table, partition by partition.
- * Return: true when @next differs from the table.
+ * Sets in @next the change that this process may make to one partition.
+ * Return: true if @next differs from the table.
  */
 static bool
 plan_part(struct claim *c, uint32_t p, struct mh_owners *next)
@@ -247,29 +255,30 @@
 	const struct mh_part *t = mh_owners_part(c->owners, p);
 	const struct part_state *s = &c->part[p];
 	const struct mh_policy *pol = &mh_conf_get(c->k)->policy;
-	const char *win;
+	const char *preferred;
 	int64_t bound;
 
-	if (s->move == MOVE_ACKED) {
+	if (s->handover == HANDOVER_ACKED) {
 		mh_owners_set(next, p, s->target, s->target_inc, t->epoch + 1,
-		    s->move_bound_ms);
+		    s->sent_bound_ms);
 		return true;
 	}
-	if (mine(c, t) || c->draining)
+	if (is_own(c, t) || c->draining)
 		return false;
 	if (strcmp(t->vm, c->vm) == 0) {
-		/* This VM's earlier process: its memory is gone. */
+		/* An earlier process on this VM; its ledger is lost. */
 		mh_owners_set(
-		    next, p, c->vm, c->inc, t->epoch + 1, fresh_bound(c));
+		    next, p, c->vm, c->inc, t->epoch + 1, new_bound(c));
 		return true;
 	}
-	if (t->vm[0] != '\0' && !mh_member_gone(c->k, t->vm, pol->vm_gone_us))
+	if (t->vm[0] != '\0' &&
+	    !mh_member_gone(c->k, t->vm, pol->vm_removed_us))
 		return false;
-	win = winner(c, p);
-	if (win == NULL || strcmp(win, c->vm) != 0)
+	preferred = preferred_side(c, p);
+	if (preferred == NULL || strcmp(preferred, c->vm) != 0)
 		return false;
-	/* Never owned before: no key can have run, the bound is zero. */
-	bound = t->epoch == 0 ? 0 : fresh_bound(c);
+	/* Never owned before: no key can have run, so the bound is 0. */
+	bound = t->epoch == 0 ? 0 : new_bound(c);
 	mh_owners_set(next, p, c->vm, c->inc, t->epoch + 1, bound);
 	if (t->epoch > 0)
 		mh_count(c->k, "claim_takeovers", 1);
@@ -281,7 +290,7 @@
 {
 	struct mh_owners *next = mh_owners_create(c->pool);
 	GBytes *value = mh_owners_print(c->owners);
-	bool changed = mh_owners_ahead(c->owners);
+	bool changed = mh_owners_kv_stale(c->owners);
 
 	mh_owners_parse(next, value);
 	g_bytes_unref(value);
@@ -289,7 +298,7 @@
 		changed |= plan_part(c, p, next);
 	if (changed) {
 		c->fresh = false;
-		kv(c, MH_KV_PUT, mh_owners_print(next), &c->put);
+		kv_call(c, MH_KV_PUT, mh_owners_print(next), &c->put);
 	}
 	mh_owners_destroy(next);
 }
@@ -318,10 +327,10 @@
 }
 
 /*
- * A hand-over is one frame, and a frame has a bound: one that a peer must
- * refuse would be sent again for ever and the drain never end.  The newest
- * rows go with their answers, older ones without; what does not fit at all
- * raises the bound, so that its keys are "unknown" at the new owner.
+ * A handover is one frame of limited size: the peer refuses a larger one, so it
+ * would be resent for ever and the drain would not finish.  The newest rows are
+ * sent with their bodies, older ones without.  Rows that do not fit raise the
+ * bound, so that their keys are "unknown" at the new owner.
  */
 static guint
 first_to_send(GPtrArray *rows, int64_t *bound_ms, guint *first_with_body)
@@ -362,7 +371,7 @@
 		fill_row(rows->pdata[i], &entries[i], i >= with_body);
 		ptrs[i - first] = &entries[i];
 	}
-	c->part[p].move_bound_ms = bound_ms;
+	c->part[p].sent_bound_ms = bound_ms;
 	h.service = c->pool;
 	h.partition = p;
 	h.epoch = mh_owners_part(c->owners, p)->epoch + 1;
@@ -378,36 +387,37 @@
 }
 
 static void
-start_move(struct claim *c, uint32_t p, const char *to)
+start_handover(struct claim *c, uint32_t p, const char *to)
 {
 	struct part_state *s = &c->part[p];
 
 	g_free(s->target);
 	s->target = g_strdup(to);
-	s->move = MOVE_EMPTYING;
-	s->move_at_us = mh_now(c->k);
+	s->handover = HANDOVER_PREPARING;
+	s->handover_started_us = mh_now(c->k);
 }
 
 /*
- * A move that cannot finish is taken back, except once the new owner has
- * acknowledged: then a write that may have taken effect is in play, and
- * only the KV's table tells who owns the partition.
+ * A handover that cannot finish is cancelled, but not once the new owner has
+ * acknowledged it: from then on our write of the table may have taken effect,
+ * and only the table shows who owns the partition.
  */
 static void
-step_move(struct claim *c, uint32_t p)
+step_handover(struct claim *c, uint32_t p)
 {
 	struct part_state *s = &c->part[p];
 	struct mh_peer *to = mh_member_find(c->k, s->target);
 
-	if (s->move == MOVE_ACKED)
+	if (s->handover == HANDOVER_ACKED)
 		return;
-	if (to == NULL || mh_now(c->k) - s->move_at_us > MOVE_US) {
-		stop_move(c, p);
+	if (to == NULL ||
+	    mh_now(c->k) - s->handover_started_us > HANDOVER_TIMEOUT_US) {
+		end_handover(c, p);
 		return;
 	}
 	mh_member_dial(c->k, to);
-	if (s->move == MOVE_EMPTYING && s->busy == 0 && to->up) {
-		s->move = MOVE_SENT;
+	if (s->handover == HANDOVER_PREPARING && s->busy == 0 && to->up) {
+		s->handover = HANDOVER_SENT;
 		send_rows(c, p, to);
 	}
 }
@@ -415,29 +425,29 @@
 static void
 balance(struct claim *c)
 {
-	uint32_t moves = 0;
+	uint32_t handovers = 0;
 
 	for (uint32_t p = 0; p < MH_PARTITIONS; p++) {
 		struct part_state *s = &c->part[p];
-		const char *win;
+		const char *preferred;
 
-		if (s->move != MOVE_NONE) {
-			moves++;
-			step_move(c, p);
+		if (s->handover != HANDOVER_NONE) {
+			handovers++;
+			step_handover(c, p);
 			continue;
 		}
-		/* Without the KV no move can end: do not even begin one. */
+		/* No handover can finish without the KV service. */
 		if (!c->reachable)
 			continue;
-		if (!s->open || (!c->draining && moves >= MAX_MOVES) ||
-		    (!c->draining && mh_now(c->k) < s->again_at_us))
+		if (!s->open || (!c->draining && handovers >= MAX_HANDOVERS) ||
+		    (!c->draining && mh_now(c->k) < s->balance_after_us))
 			continue;
-		win = winner(c, p);
-		if (win == NULL || strcmp(win, c->vm) == 0)
+		preferred = preferred_side(c, p);
+		if (preferred == NULL || strcmp(preferred, c->vm) == 0)
 			continue;
-		moves++;
-		start_move(c, p, win);
-		step_move(c, p);
+		handovers++;
+		start_handover(c, p, preferred);
+		step_handover(c, p);
 	}
 }
 
@@ -447,15 +457,15 @@
 	struct claim *c = arg;
 
 	c->tick = mh_timer_start(c->k, TICK_US, on_tick, c);
-	if (!active(c))
+	if (!pool_is_service(c))
 		return;
-	if (c->watch == 0 && c->put == 0 && mh_now(c->k) >= c->kv_at_us)
-		kv(c, MH_KV_WATCH, NULL, &c->watch);
+	if (c->watch == 0 && c->put == 0 && mh_now(c->k) >= c->kv_next_us)
+		kv_call(c, MH_KV_WATCH, NULL, &c->watch);
 	if (!c->loaded || !mh_member_has_list(c->k) ||
-	    mh_now(c->k) - c->started_us < SETTLE_US)
+	    mh_now(c->k) - c->started_us < START_DELAY_US)
 		return;
 	balance(c);
-	if (c->put == 0 && c->fresh && mh_now(c->k) >= c->kv_at_us)
+	if (c->put == 0 && c->fresh && mh_now(c->k) >= c->kv_next_us)
 		plan(c);
 }
 
@@ -464,19 +474,19 @@
 {
 	c->reachable = false;
 	mh_count(c->k, "claim_kv_failed", 1);
-	c->kv_at_us = mh_now(c->k) + BACKOFF_US +
+	c->kv_next_us = mh_now(c->k) + BACKOFF_US +
 	    (int64_t)(mh_random_unit(c->k) * (double)BACKOFF_US);
-	/* A write without an answer may have taken effect: read it again. */
+	/* A write without a response may have taken effect: read the table. */
 	c->index = 0;
 }
 
 static void
-take_value(struct claim *c, const struct mh_kv_msg *v)
+apply_value(struct claim *c, const struct mh_kv_msg *v)
 {
 	c->reachable = true;
-	/* A watch that returns at once with nothing new would do so again. */
+	/* Limits the rate of watches that return at once without a change. */
 	if (v->index == c->index)
-		c->kv_at_us = c->watched_us + BACKOFF_US;
+		c->kv_next_us = c->watch_started_us + BACKOFF_US;
 	c->index = v->index;
 	c->cas = v->cas;
 	c->loaded = true;
@@ -497,7 +507,7 @@
 	if (v->token == c->watch) {
 		c->watch = 0;
 		if (v->ok)
-			take_value(c, v);
+			apply_value(c, v);
 		else
 			kv_failed(c);
 	} else if (v->token == c->put) {
@@ -505,13 +515,13 @@
 		if (!v->ok)
 			kv_failed(c);
 		else
-			/* Written, or a lost race: either way read it back. */
+			/* Written or lost a race: read the table either way. */
 			c->index = 0;
 	} else {
 		return;
 	}
-	if (c->watch == 0 && mh_now(c->k) >= c->kv_at_us)
-		kv(c, MH_KV_WATCH, NULL, &c->watch);
+	if (c->watch == 0 && mh_now(c->k) >= c->kv_next_us)
+		kv_call(c, MH_KV_WATCH, NULL, &c->watch);
 }
 
 static void
@@ -527,14 +537,14 @@
 	    c->part[p].open || c->draining ||
 	    h->epoch <= mh_owners_part(c->owners, p)->epoch)
 		return;
-	/* An earlier attempt, delayed in a dead link, must not replace rows. */
-	if (h->epoch < c->part[p].got_epoch ||
-	    (h->epoch == c->part[p].got_epoch &&
-		h->serial <= c->part[p].got_serial))
+	/* An earlier attempt, delayed on a broken link, is ignored. */
+	if (h->epoch < c->part[p].recv_epoch ||
+	    (h->epoch == c->part[p].recv_epoch &&
+		h->serial <= c->part[p].recv_serial))
 		return;
-	c->part[p].got_epoch = h->epoch;
-	c->part[p].got_serial = h->serial;
-	c->part[p].got_at_us = mh_now(c->k);
+	c->part[p].recv_epoch = h->epoch;
+	c->part[p].recv_serial = h->serial;
+	c->part[p].received_us = mh_now(c->k);
 	mh_ledger_close(c->ledger, p);
 	for (size_t i = 0; i < h->n_entries; i++)
 		mh_ledger_add(c->ledger, p, h->entries[i]);
@@ -560,12 +570,12 @@
 	if (strcmp(a->service, c->pool) != 0 || a->partition >= MH_PARTITIONS)
 		return;
 	s = &c->part[a->partition];
-	if (s->move != MOVE_SENT || a->serial != s->serial ||
+	if (s->handover != HANDOVER_SENT || a->serial != s->serial ||
 	    a->epoch != mh_owners_part(c->owners, a->partition)->epoch + 1)
 		return;
-	s->move = MOVE_ACKED;
+	s->handover = HANDOVER_ACKED;
 	s->target_inc = a->incarnation;
-	if (c->put == 0 && c->fresh && mh_now(c->k) >= c->kv_at_us)
+	if (c->put == 0 && c->fresh && mh_now(c->k) >= c->kv_next_us)
 		plan(c);
 }
 
@@ -591,7 +601,7 @@
 	uint32_t moving = 0;
 
 	for (uint32_t p = 0; p < MH_PARTITIONS; p++)
-		moving += c->part[p].move != MOVE_NONE;
+		moving += c->part[p].handover != HANDOVER_NONE;
 	return json_pack("{s:i, s:i, s:i, s:b}", "partitions",
 	    (int)mh_claim_count(k), "moving", (int)moving, "rows",
 	    (int)mh_ledger_len(c->ledger), "loaded", c->loaded);
--- a/lib/conf.c
+++ b/lib/conf.c
@@ -1,10 +1,10 @@
 /**
- * DOC: The configuration in force, with a generation that only grows.
+ * DOC: The configuration in force.  Its generation only increases.
  *
- * A few watchers per failure domain wait on the KV service's small head
- * value, which carries a delta from the generation before.  Every frame
- * between processes shows its sender's generation; who sees a higher one
- * pulls the delta from that peer.
+ * A few processes per failure domain watch the small head value in the KV
+ * service, which contains a delta from the previous generation.  Every frame
+ * between processes carries its sender's generation.  A process that receives
+ * a higher one than its own fetches the delta from that peer.
  */
 
 #include "marlhoist.h"
@@ -14,8 +14,8 @@
 #define TICK_US (500 * MH_US_PER_MS)
 #define WATCH_US (30 * MH_US_PER_S)
 #define BACKOFF_US (500 * MH_US_PER_MS)
-#define ASK_AGAIN_US (300 * MH_US_PER_MS)
-#define KEPT_DOCS 4
+#define FETCH_RETRY_US (300 * MH_US_PER_MS)
+#define MAX_KEPT_DOCS 4
 
 struct kept {
 	uint64_t generation;
@@ -33,12 +33,12 @@
 	GQueue kept; /* newest first */
 	GArray *listeners;
 	uint64_t head_index;
-	uint64_t token; /* KV call under way, 0 for none */
+	uint64_t token; /* of the KV call in flight, 0: none */
 	bool fetching; /* that call fetches a document */
-	json_t *head; /* the head whose document is fetched */
-	int64_t kv_at_us; /* no KV call before this */
-	int64_t kv_asked_us; /* when the last one was made */
-	int64_t asked_at_us;
+	json_t *head; /* the head whose document is being fetched */
+	int64_t kv_next_us; /* no KV call before this */
+	int64_t kv_started_us; /* when the last KV call was made */
+	int64_t requested_us; /* last request to a peer; 0: none in flight */
 	struct mh_timer *tick;
 };
 
@@ -77,7 +77,7 @@
 	n->generation = generation;
 	n->doc = g_bytes_ref(doc);
 	g_queue_push_head(&c->kept, n);
-	while (g_queue_get_length(&c->kept) > KEPT_DOCS) {
+	while (g_queue_get_length(&c->kept) > MAX_KEPT_DOCS) {
 		struct kept *old = g_queue_pop_tail(&c->kept);
 
 		g_bytes_unref(old->doc);
@@ -155,9 +155,9 @@
 	g_error_free(err);
 }
 
-/* Shared ends of two documents; what stands between differs. */
+/* Lengths of the common prefix and the common suffix of two documents. */
 static void
-common_ends(GBytes *old, GBytes *new, uint32_t *prefix, uint32_t *suffix)
+common_affixes(GBytes *old, GBytes *new, uint32_t *prefix, uint32_t *suffix)
 {
 	gsize ol, nl;
 	const uint8_t *o = g_bytes_get_data(old, &ol);
@@ -172,7 +172,7 @@
 	*suffix = (uint32_t)s;
 }
 
-/* NULL when the ends do not fit the old document or the hash differs. */
+/* Returns NULL if the lengths exceed the old document or the hash differs. */
 static GBytes *
 patch(GBytes *old, uint32_t prefix, uint32_t suffix, const void *middle,
     size_t len, uint64_t hash)
@@ -222,7 +222,7 @@
 	if (history != NULL)
 		json_object_set(o, "history", history);
 	if (base_doc != NULL) {
-		common_ends(base_doc, doc, &prefix, &suffix);
+		common_affixes(base_doc, doc, &prefix, &suffix);
 		json_object_set_new(o, "base", json_integer((json_int_t)base));
 		json_object_set_new(o, "prefix", json_integer(prefix));
 		json_object_set_new(o, "suffix", json_integer(suffix));
@@ -237,12 +237,12 @@
 }
 
 static void
-kv_ask(struct conf *c, enum mh_kv_op op, const char *name)
+kv_call(struct conf *c, enum mh_kv_op op, const char *name)
 {
 	struct mh_msg *m = mh_msg_new(MH_MSG_KV);
 
 	c->token = mh_next_id(c->k);
-	c->kv_asked_us = mh_now(c->k);
+	c->kv_started_us = mh_now(c->k);
 	m->u.kv.op = op;
 	m->u.kv.token = c->token;
 	m->u.kv.from = g_strdup("conf");
@@ -277,7 +277,7 @@
 }
 
 static void
-take_head(struct conf *c, GBytes *value)
+handle_head(struct conf *c, GBytes *value)
 {
 	gsize len;
 	const char *data = g_bytes_get_data(value, &len);
@@ -294,7 +294,7 @@
 		return;
 	}
 	if (head_u64(head, "generation") <= mh_conf_generation(c->k)) {
-		/* A KV service restored to an older state reverts nothing. */
+		/* A KV service restored to an older state is ignored. */
 		json_decref(head);
 		return;
 	}
@@ -308,20 +308,20 @@
 	c->fetching = true;
 	json_decref(c->head);
 	c->head = head;
-	kv_ask(c, MH_KV_GET, name);
+	kv_call(c, MH_KV_GET, name);
 }
 
-/* The head doesn't change again: it is read anew, not waited for. */
+/* Reads the head again: a watch would wait for a change of the head. */
 static void
 bad_doc(struct conf *c)
 {
 	mh_count(c->k, "conf_bad_doc", 1);
 	c->head_index = 0;
-	c->kv_at_us = mh_now(c->k) + BACKOFF_US;
+	c->kv_next_us = mh_now(c->k) + BACKOFF_US;
 }
 
 static void
-take_doc(struct conf *c, GBytes *doc)
+handle_doc(struct conf *c, GBytes *doc)
 {
 	char *hash = hash_text(doc);
 	const char *want = json_string_value(json_object_get(c->head, "hash"));
@@ -345,27 +345,27 @@
 	if (!v->ok) {
 		mh_count(c->k, "conf_kv_failed", 1);
 		c->head_index = 0;
-		c->kv_at_us = mh_now(c->k) + BACKOFF_US +
+		c->kv_next_us = mh_now(c->k) + BACKOFF_US +
 		    (int64_t)(mh_random_unit(c->k) * (double)BACKOFF_US);
 		return;
 	}
 	if (fetched) {
 		if (v->found)
-			take_doc(c, v->value);
+			handle_doc(c, v->value);
 		else
 			c->head_index = 0;
 		return;
 	}
-	/* A watch that returns at once with nothing new would do so again. */
+	/* Limits the rate of watches that return at once without a change. */
 	if (v->index == c->head_index)
-		c->kv_at_us = c->kv_asked_us + BACKOFF_US;
-	/* An index that went backwards means a restored service: start over. */
+		c->kv_next_us = c->kv_started_us + BACKOFF_US;
+	/* A smaller index: the KV service was restored, so start over. */
 	c->head_index = v->index >= c->head_index ? v->index : 0;
 	if (!v->found)
-		c->kv_at_us = mh_now(c->k) + BACKOFF_US;
+		c->kv_next_us = mh_now(c->k) + BACKOFF_US;
 	else
-		take_head(c, v->value);
-	if (c->token == 0 && mh_now(c->k) >= c->kv_at_us) {
+		handle_head(c, v->value);
+	if (c->token == 0 && mh_now(c->k) >= c->kv_next_us) {
 		mh_timer_stop(c->k, &c->tick);
 		on_tick(c);
 	}
@@ -377,10 +377,10 @@
 	struct conf *c = arg;
 
 	c->tick = mh_timer_start(c->k, TICK_US, on_tick, c);
-	if (c->token != 0 || mh_now(c->k) < c->kv_at_us)
+	if (c->token != 0 || mh_now(c->k) < c->kv_next_us)
 		return;
 	if (mh_member_watcher(c->k, "config") || c->decl == NULL)
-		kv_ask(c, MH_KV_WATCH, MH_CONF_HEAD);
+		kv_call(c, MH_KV_WATCH, MH_CONF_HEAD);
 }
 
 void
@@ -395,10 +395,10 @@
 		p->generation = MAX(p->generation, generation);
 	if (c == NULL || generation <= mh_conf_generation(k))
 		return;
-	/* One question at a time; a lost one is asked again soon. */
-	if (c->asked_at_us > 0 && mh_now(k) < c->asked_at_us + ASK_AGAIN_US)
+	/* One request at a time; it is retried if no reply arrives. */
+	if (c->requested_us > 0 && mh_now(k) < c->requested_us + FETCH_RETRY_US)
 		return;
-	c->asked_at_us = mh_now(k);
+	c->requested_us = mh_now(k);
 	ask.have = mh_conf_generation(k);
 	f.body_case = MH__FRAME__BODY_CONFIG_ASK;
 	f.config_ask = &ask;
@@ -423,7 +423,7 @@
 	old = kept_doc(c, in->config_ask->have);
 	if (old != NULL) {
 		conf.base_generation = in->config_ask->have;
-		common_ends(old, c->decl->doc, &conf.prefix, &conf.suffix);
+		common_affixes(old, c->decl->doc, &conf.prefix, &conf.suffix);
 	}
 	conf.doc.data = (uint8_t *)(uintptr_t)data + conf.prefix;
 	conf.doc.len = len - conf.prefix - conf.suffix;
@@ -440,7 +440,7 @@
 	GBytes *empty, *old, *doc;
 
 	(void)conn;
-	c->asked_at_us = 0;
+	c->requested_us = 0;
 	if (n->generation <= mh_conf_generation(c->k))
 		return;
 	empty = g_bytes_new(NULL, 0);
--- a/lib/decl.c
+++ b/lib/decl.c
@@ -1,9 +1,9 @@
 /**
  * DOC: Declarations: pipelines, rules, classes, organisations and pools.
  *
- * The tables below are the format; marlhoist.yaml(5) documents it.  After
- * reading, cross references are checked, so a document that was accepted
- * can be applied whole.
+ * The tables below define the format, which marlhoist.yaml(5) documents.  After
+ * reading, cross references are checked, so that an accepted document can be
+ * applied completely.
  */
 
 #include "marlhoist.h"
@@ -39,7 +39,8 @@
 	FN("retention_ms", mh_policy, retention_us, MH_F_MS, false, 1000,
 	    86400000),
 	FN("clock_skew_ms", mh_policy, skew_us, MH_F_MS, false, 0, 60000),
-	FN("vm_gone_ms", mh_policy, vm_gone_us, MH_F_MS, false, 1000, MAX_MS),
+	FN("vm_gone_ms", mh_policy, vm_removed_us, MH_F_MS, false, 1000,
+	    MAX_MS),
 	F(mh_policy, weight_in, MH_F_DOUBLE, false, 0, 100),
 	F(mh_policy, weight_cached, MH_F_DOUBLE, false, 0, 100),
 	F(mh_policy, weight_out, MH_F_DOUBLE, false, 0, 100),
@@ -67,7 +68,7 @@
 	FEND,
 };
 
-/* A stage's repeat word is read as an enum and kept as a bool. */
+/* The "repeat" word of a stage is read as an enum and stored as a bool. */
 struct raw_stage {
 	struct mh_stage s;
 	uint32_t repeat;
@@ -451,7 +452,7 @@
 }
 
 static guint
-hash_of_hash(gconstpointer p)
+hash_prefix(gconstpointer p)
 {
 	guint h;
 
@@ -539,7 +540,7 @@
 	p->fixed_timeout_us = DEFAULT_STAGE_TIMEOUT_US;
 	p->retention_us = 600 * MH_US_PER_S;
 	p->skew_us = 500 * MH_US_PER_MS;
-	p->vm_gone_us = 10 * MH_US_PER_S;
+	p->vm_removed_us = 10 * MH_US_PER_S;
 	p->weight_in = 1.0;
 	p->weight_cached = 0.25;
 	p->weight_out = 8.0;
@@ -553,7 +554,7 @@
 	d->refs = 1;
 	d->doc = g_bytes_ref(doc);
 	d->by_key =
-	    g_hash_table_new_full(hash_of_hash, hash_equal, NULL, g_free);
+	    g_hash_table_new_full(hash_prefix, hash_equal, NULL, g_free);
 	set_defaults(&d->policy);
 	if (!mh_yaml_read(doc, &decl_table, d, err)) {
 		mh_decl_unref(d);
@@ -597,8 +598,8 @@
 }
 
 /*
- * The lookup goes by the key's hash and compares whole hashes in constant
- * time, so how long it takes tells nothing about a stored key.
+ * The lookup uses the hash of the key and compares whole hashes in constant
+ * time, so its duration reveals nothing about a stored key.
  */
 const struct mh_key_owner *
 mh_decl_find_key(const struct mh_decl *d, const char *key)
--- a/lib/declread.c
+++ b/lib/declread.c
@@ -1,8 +1,8 @@
 /**
- * DOC: Table-driven reader of YAML mappings over libyaml's document tree.
+ * DOC: Table-driven reader of YAML mappings from libyaml's document tree.
  *
- * Strict: an unknown, doubled, missing or out-of-range field is an error
- * that names the line, the field, the reason and the remedy.
+ * An unknown, duplicate, missing or out-of-range field is an error whose
+ * message names the line, the field, the reason and the remedy.
  */
 
 #include "marlhoist.h"
@@ -13,7 +13,7 @@
 #include <string.h>
 #include <yaml.h>
 
-#define MAX_DOC (1U << 20) /* the KV service's largest value */
+#define MAX_DOC_BYTES (1U << 20) /* largest value of the KV service */
 #define MAX_DEPTH 16
 
 struct reader {
@@ -311,8 +311,8 @@
 		return fail(err, node, t->what, "is not a mapping",
 		    "write name: value pairs");
 	/*
-	 * An alias may point back at its own parent: without a bound such a
-	 * document would recurse until the stack ends.
+	 * An alias may refer to a node that contains it: without a limit on
+	 * the depth such a document would overflow the stack.
 	 */
 	if (++r->depth > MAX_DEPTH)
 		return fail(err, node, t->what, "nests too deep",
@@ -341,11 +341,11 @@
 	const unsigned char *data = g_bytes_get_data(doc, &len);
 	bool ok = false;
 
-	if (len > MAX_DOC) {
+	if (len > MAX_DOC_BYTES) {
 		g_set_error(err, MH_ERROR, MH_ERR_DECL,
 		    "line 1: field \"document\": is larger than %u bytes; "
 		    "split organisations among fewer keys",
-		    MAX_DOC);
+		    MAX_DOC_BYTES);
 		return false;
 	}
 	if (!yaml_parser_initialize(&parser)) {
--- a/lib/endpoint.c
+++ b/lib/endpoint.c
@@ -1,14 +1,14 @@
 /**
- * DOC: Service "endpoint": one call becomes one HTTP request in the
- * OpenAI-style forms; generation streams server-sent events.
+ * DOC: Service "endpoint": sends each call as one HTTP request with an
+ * OpenAI-style body.  Generated text arrives as server-sent events.
  */
 
 #include "marlhoist.h"
 
 #include <string.h>
 
-#define MAX_LINE (1U << 20)
-#define MAX_TEXT (4U << 20) /* of a stream, kept until its end */
+#define MAX_LINE_BYTES (1U << 20)
+#define MAX_TEXT_BYTES (4U << 20) /* of a stream; kept by the side service */
 
 struct endpoint {
 	struct mh_kern *k;
@@ -22,8 +22,8 @@
 	uint64_t id;
 	uint64_t http;
 	bool stream;
-	bool told; /* of its end */
-	bool bad; /* what comes next is of no use */
+	bool reported; /* its end, to the side service */
+	bool malformed; /* the rest of the stream is discarded */
 	GString *line;
 	size_t text_len;
 	json_t *usage;
@@ -50,11 +50,11 @@
 }
 
 static void
-take_text(struct run *r, const char *text)
+add_text(struct run *r, const char *text)
 {
 	r->text_len += strlen(text);
-	if (r->text_len > MAX_TEXT)
-		r->bad = true;
+	if (r->text_len > MAX_TEXT_BYTES)
+		r->malformed = true;
 	else if (*text != '\0')
 		send_chunk(r, text);
 }
@@ -65,9 +65,8 @@
 	return (uint64_t)json_integer_value(json_object_get(usage, name));
 }
 
-/* Tells the end of a run, once. */
 static void
-tell_end(struct run *r, const struct mh_run_msg *end)
+report_end(struct run *r, const struct mh_run_msg *end)
 {
 	struct mh_msg *m = mh_msg_new(MH_MSG_RAN);
 
@@ -76,22 +75,22 @@
 	m->u.run.tokens_in = usage_of(r->usage, "prompt_tokens");
 	m->u.run.tokens_out = usage_of(r->usage, "completion_tokens");
 	m->u.run.tokens_cached = usage_of(r->usage, "cached_tokens");
-	r->told = true;
+	r->reported = true;
 	mh_post(r->e->k, "side", m);
 }
 
-/* Behind its end mark a text is whole, whatever its connection does. */
+/* After its end mark a text is complete, even if its connection breaks. */
 static void
-tell_whole(struct run *r)
+report_complete(struct run *r)
 {
 	struct mh_run_msg end = { .status = 200, .sent = true, .whole = true };
 
-	tell_end(r, &end);
+	report_end(r, &end);
 }
 
-/* An engine that gives up says so in an event, and some send the end mark. */
+/* An engine reports a failure in an event, and some send the end mark too. */
 static bool
-is_piece(const json_t *j)
+is_completion(const json_t *j)
 {
 	const json_t *err = json_object_get(j, "error");
 
@@ -106,19 +105,19 @@
 	const char *text;
 
 	if (strcmp(data, "[DONE]") == 0) {
-		tell_whole(r);
+		report_complete(r);
 		return;
 	}
 	j = json_loads(data, 0, NULL);
-	if (!is_piece(j)) {
+	if (!is_completion(j)) {
 		json_decref(j);
-		r->bad = true;
+		r->malformed = true;
 		return;
 	}
 	text = json_string_value(json_object_get(
 	    json_array_get(json_object_get(j, "choices"), 0), "text"));
 	if (text != NULL)
-		take_text(r, text);
+		add_text(r, text);
 	usage = json_object_get(j, "usage");
 	if (json_is_object(usage)) {
 		json_decref(r->usage);
@@ -132,26 +131,26 @@
 {
 	struct run *r = arg;
 
-	/* The body of an error is no text of the engine's. */
+	/* The body of an error response is not generated text. */
 	if (status != 200)
 		return true;
-	/* Behind an event that can't be read a piece is missing. */
-	for (size_t i = 0; i < len && !r->bad; i++) {
-		if (r->told && !g_ascii_isspace(data[i]))
+	/* After a malformed event the text would have a gap. */
+	for (size_t i = 0; i < len && !r->malformed; i++) {
+		if (r->reported && !g_ascii_isspace(data[i]))
 			return false;
 		if (data[i] != '\n') {
 			g_string_append_c(r->line, data[i]);
-			r->bad = r->line->len > MAX_LINE;
+			r->malformed = r->line->len > MAX_LINE_BYTES;
 			continue;
 		}
 		if (g_str_has_prefix(r->line->str, "data: "))
 			take_event(r, g_strchomp(r->line->str) + 6);
 		g_string_truncate(r->line, 0);
 	}
-	return !r->bad;
+	return !r->malformed;
 }
 
-/* A stream without its end mark was cut, however it closed. */
+/* A stream without its end mark is incomplete, however it was closed. */
 static void
 on_done(void *arg, const struct mh_http_done *d)
 {
@@ -170,8 +169,8 @@
 		r->usage = json_incref(json_object_get(j, "usage"));
 		json_decref(j);
 	}
-	if (!r->told)
-		tell_end(r, &end);
+	if (!r->reported)
+		report_end(r, &end);
 	g_hash_table_remove(r->e->runs, &r->id);
 }
 
@@ -184,8 +183,9 @@
 	char *org = g_strconcat("X-Organisation: ", q->org, NULL);
 	const char *headers[4] = { "Content-Type: application/json" };
 	/*
-	 * An answer that an engine gives once more would be taken for the
-	 * next one on its connection.
+	 * The connection must not be reused: if an engine sends its response
+	 * twice, the copy would be taken for the response to the next request
+	 * on the connection.
 	 */
 	struct mh_http_call call = { .method = "POST",
 		.url = url,
@@ -224,7 +224,7 @@
 	r = g_hash_table_lookup(e->runs, &m->u.run.run);
 	if (m->kind != MH_MSG_RUN_ABORT || r == NULL)
 		return;
-	/* Closing the stream makes the engine drop the sequence. */
+	/* The engine stops generating when the connection is closed. */
 	mh_client_abort(e->client, r->http);
 	g_hash_table_remove(e->runs, &r->id);
 }
--- a/lib/gate.h
+++ b/lib/gate.h
@@ -35,21 +35,21 @@
 /** mh_meter_text() - every histogram as Prometheus text. */
 char *mh_meter_text(struct mh_kern *k);
 
-/* gconf.c: what operators declare, as the gate uses it */
+/* gconf.c: the operators' configuration, as the gateway uses it */
 
 enum mh_repeat {
 	MH_REPEAT_SAFE, /* may run more than once */
-	MH_REPEAT_RESUME, /* a stream that another run may continue */
+	MH_REPEAT_RESUME, /* a stream that another run can continue */
 	MH_REPEAT_NEVER /* at most once */
 };
 
-#define MH_GSTAGES 8 /* stages of one route at most */
+#define MH_GSTAGES 8 /* most stages of a route */
 
-/** struct mh_gstage - one stage of work before the request itself. */
+/** struct mh_gstage - one stage of work that precedes the request. */
 struct mh_gstage {
 	char *pool;
 	uint32_t after; /* bit mask of the stages whose results it needs */
-	uint64_t result_bytes; /* about, of one result */
+	uint64_t result_bytes; /* approximate size of one result */
 };
 
 struct mh_gtarget {
@@ -57,10 +57,10 @@
 	double weight;
 };
 
-/* Versions share a route that did not change. */
+/** struct mh_groute - a route; unchanged routes are shared by versions. */
 struct mh_groute {
 	int refs;
-	uint64_t print[2]; /* of the text it was read from; 0: not known */
+	uint64_t print[2]; /* hash of its JSON text; 0: unknown */
 	char *name;
 	char *host;
 	char *prefix;
@@ -68,8 +68,8 @@
 	enum mh_repeat repeat;
 	bool open_to_all; /* needs no key */
 	int64_t timeout_us;
-	int64_t aim_us;
-	int64_t gap_aim_us; /* longest pause of a stream that is on time */
+	int64_t aim_us; /* latency objective */
+	int64_t gap_aim_us; /* objective of the pauses of a stream */
 	uint32_t priority; /* 0 is the most urgent */
 	uint32_t attempts;
 	GArray *targets; /* struct mh_gtarget */
@@ -77,13 +77,13 @@
 	uint32_t n_stages;
 };
 
-/** struct mh_gwork - how the endpoints of a stage pool take work. */
+/** struct mh_gwork - batching and cost of a stage pool's endpoints. */
 struct mh_gwork {
-	uint32_t batch; /* pieces a call */
-	uint32_t running; /* calls at once */
-	int64_t call_us;
-	int64_t item_us;
-	uint64_t room_bytes; /* for results */
+	uint32_t batch; /* most pieces of one call */
+	uint32_t running; /* calls that an endpoint runs at once */
+	int64_t call_us; /* cost of a call */
+	int64_t item_us; /* cost of a piece */
+	uint64_t room_bytes; /* of an endpoint; 0: unknown */
 };
 
 /** struct mh_gengine - the size of a pool's model engines. */
@@ -94,16 +94,16 @@
 
 struct mh_gpool {
 	char *name;
-	uint32_t max_conns; /* to one endpoint, of all callers together */
-	int64_t warmup_us; /* an endpoint is cold so long after its start */
-	double cold_per_s; /* requests that a cold one bears; 0: any */
+	uint32_t max_conns; /* to one endpoint, from all entries together */
+	int64_t warmup_us; /* an endpoint is cold this long after its start */
+	double cold_per_s; /* requests a cold endpoint can take; 0: any */
 	bool is_work;
 	struct mh_gwork work;
 };
 
 struct mh_gorg {
 	char *name;
-	int32_t priority; /* -1: the route's */
+	int32_t priority; /* -1: that of the route */
 };
 
 /** struct mh_gconf - one version of the configuration. */
@@ -123,12 +123,12 @@
 struct mh_groute *mh_groute_create(void);
 struct mh_groute *mh_groute_ref(struct mh_groute *r);
 void mh_groute_unref(struct mh_groute *r);
-/** mh_gconf_route() - longest prefix of that host, or NULL. */
+/** mh_gconf_route() - the longest matching prefix of @host, or NULL. */
 struct mh_groute *mh_gconf_route(
     const struct mh_gconf *c, const char *host, const char *target);
 struct mh_groute *mh_gconf_named(const struct mh_gconf *c, const char *name);
 struct mh_gpool *mh_gconf_pool(const struct mh_gconf *c, const char *name);
-/** mh_groute_pool() - a pool by the weights; @unit in [0, 1). */
+/** mh_groute_pool() - a pool, by weight; @unit in [0, 1), NULL: no pools. */
 const char *mh_groute_pool(const struct mh_groute *r, double unit);
 
 /* fleet.c: the endpoints and what this process records of each */
--- a/lib/gconf.c
+++ b/lib/gconf.c
@@ -1,5 +1,5 @@
 /**
- * DOC: One version of what operators declare, as the gate uses it.
+ * DOC: One version of the operators' configuration, as the gateway uses it.
  */
 
 #include "gate.h"
@@ -141,11 +141,11 @@
 const char *
 mh_groute_pool(const struct mh_groute *r, double unit)
 {
-	double all = 0;
+	double total = 0;
 
 	for (guint i = 0; i < r->targets->len; i++)
-		all += g_array_index(r->targets, struct mh_gtarget, i).weight;
-	unit *= all;
+		total += g_array_index(r->targets, struct mh_gtarget, i).weight;
+	unit *= total;
 	for (guint i = 0; i < r->targets->len; i++) {
 		struct mh_gtarget *t =
 		    &g_array_index(r->targets, struct mh_gtarget, i);
--- a/lib/kv.c
+++ b/lib/kv.c
@@ -1,6 +1,7 @@
 /**
- * DOC: Service "kv": the platform's key-value service in the Consul KV HTTP
- * form.  A blocking query is a watch; ?cas= is compare-and-swap.
+ * DOC: Service "kv": client of the platform's key-value service, which has the
+ * HTTP interface of the Consul KV store.  A watch is a blocking query, a write
+ * is a compare-and-swap (?cas=).
  */
 
 #include "marlhoist.h"
@@ -16,12 +17,12 @@
 	char *url;
 };
 
-struct ask {
+struct request {
 	struct kv *kv;
-	struct mh_kv_msg q; /* strings owned */
+	struct mh_kv_msg q; /* owns its strings */
 };
 
-/* JSON: [{"ModifyIndex": N, "Value": base64}] */
+/* The JSON text is [{"ModifyIndex": N, "Value": base64}]. */
 GBytes *
 mh_kv_value(const void *data, size_t len, uint64_t *cas)
 {
@@ -43,7 +44,8 @@
 }
 
 static void
-fill(struct mh_kv_msg *out, const struct ask *a, const struct mh_http_done *d)
+fill(struct mh_kv_msg *out, const struct request *r,
+    const struct mh_http_done *d)
 {
 	gsize len;
 	const char *data = g_bytes_get_data(d->body, &len);
@@ -52,7 +54,7 @@
 	out->cas = 0;
 	if (!d->whole)
 		return;
-	if (a->q.op == MH_KV_PUT || a->q.op == MH_KV_DELETE) {
+	if (r->q.op == MH_KV_PUT || r->q.op == MH_KV_DELETE) {
 		out->ok = d->status == 200;
 		out->found =
 		    out->ok && len >= 4 && memcmp(data, "true", 4) == 0;
@@ -67,17 +69,17 @@
 static void
 on_done(void *arg, const struct mh_http_done *d)
 {
-	struct ask *a = arg;
+	struct request *r = arg;
 	struct mh_msg *m = mh_msg_new(MH_MSG_KV_DONE);
 
-	m->u.kv.op = a->q.op;
-	m->u.kv.token = a->q.token;
-	m->u.kv.name = g_strdup(a->q.name);
-	fill(&m->u.kv, a, d);
-	mh_post(a->kv->k, a->q.from, m);
-	g_free(a->q.from);
-	g_free(a->q.name);
-	g_free(a);
+	m->u.kv.op = r->q.op;
+	m->u.kv.token = r->q.token;
+	m->u.kv.name = g_strdup(r->q.name);
+	fill(&m->u.kv, r, d);
+	mh_post(r->kv->k, r->q.from, m);
+	g_free(r->q.from);
+	g_free(r->q.name);
+	g_free(r);
 }
 
 static char *
@@ -114,21 +116,21 @@
 	struct kv *kv = self;
 	const struct mh_kv_msg *q = &m->u.kv;
 	struct mh_http_call call = { .method = "GET", .timeout_us = CALL_US };
-	struct ask *a;
+	struct request *r;
 	char *url;
 
 	if (m->kind != MH_MSG_KV)
 		return;
-	a = g_new0(struct ask, 1);
-	a->kv = kv;
-	a->q.op = q->op;
-	a->q.token = q->token;
-	a->q.from = g_strdup(q->from);
-	a->q.name = g_strdup(q->name);
+	r = g_new0(struct request, 1);
+	r->kv = kv;
+	r->q.op = q->op;
+	r->q.token = q->token;
+	r->q.from = g_strdup(q->from);
+	r->q.name = g_strdup(q->name);
 	if (q->op == MH_KV_PUT) {
 		call.method = "PUT";
 		call.body = q->value;
-		/* A doubled write could undo somebody's write in between. */
+		/* A resent write could undo another client's write. */
 		call.once = true;
 	} else if (q->op == MH_KV_DELETE) {
 		call.method = "DELETE";
@@ -138,7 +140,7 @@
 	url = make_url(kv, q);
 	call.url = url;
 	mh_count(kv->k, "kv_calls", 1);
-	mh_client_start(kv->client, &call, NULL, on_done, a);
+	mh_client_start(kv->client, &call, NULL, on_done, r);
 	g_free(url);
 }
 
--- a/lib/ledger.c
+++ b/lib/ledger.c
@@ -1,10 +1,10 @@
 /**
- * DOC: The at-most-once ledger beside an endpoint.
+ * DOC: The at-most-once ledger of a side process.
  *
- * Deciding and entering a key as running is one local step, so two calls
- * with one key cannot both start.  What the ledger cannot remember it never
- * runs: each partition has a bound, and keys stamped at or before it are
- * "unknown, not repeated" (timestamped identifiers and loosely synchronised
+ * A key is checked and entered as running in one local step, so two calls with
+ * the same key cannot both start.  A key that the ledger may have forgotten is
+ * not run: each partition has a bound, and keys with a timestamp up to it have
+ * the outcome "unknown" (timestamped identifiers and loosely synchronised
  * clocks, after Liskov, Shrira and Wroclawski, 1991).
  */
 
@@ -12,8 +12,8 @@
 
 #include <string.h>
 
-/** struct mark - requests with this key, up to this one, never run here. */
-struct mark {
+/** struct refusal - requests with this key up to this id never run here. */
+struct refusal {
 	char *key;
 	uint8_t request[MH_ID_LEN];
 	int64_t at_ms;
@@ -21,9 +21,9 @@
 
 struct mh_ledger {
 	uint32_t limit;
-	GHashTable *marks; /* key -> struct mark */
-	GQueue mark_order; /* oldest first */
-	uint8_t floor[MH_ID_LEN]; /* no request up to this id runs here */
+	GHashTable *refusals; /* key -> struct refusal */
+	GQueue refusal_order; /* oldest first */
+	uint8_t refused_floor[MH_ID_LEN]; /* ids up to it never run here */
 	GHashTable *rows; /* key -> struct mh_ledger_row */
 	GQueue order; /* oldest first */
 	bool open[MH_PARTITIONS];
@@ -42,9 +42,9 @@
 }
 
 static void
-free_mark(void *arg)
+free_refusal(void *arg)
 {
-	struct mark *m = arg;
+	struct refusal *m = arg;
 
 	g_free(m->key);
 	g_free(m);
@@ -58,9 +58,9 @@
 	l->limit = limit;
 	l->rows =
 	    g_hash_table_new_full(g_str_hash, g_str_equal, NULL, free_row);
-	l->marks =
-	    g_hash_table_new_full(g_str_hash, g_str_equal, NULL, free_mark);
-	g_queue_init(&l->mark_order);
+	l->refusals =
+	    g_hash_table_new_full(g_str_hash, g_str_equal, NULL, free_refusal);
+	g_queue_init(&l->refusal_order);
 	g_queue_init(&l->order);
 	return l;
 }
@@ -69,9 +69,9 @@
 mh_ledger_destroy(struct mh_ledger *l)
 {
 	g_queue_clear(&l->order);
-	g_queue_clear(&l->mark_order);
+	g_queue_clear(&l->refusal_order);
 	g_hash_table_destroy(l->rows);
-	g_hash_table_destroy(l->marks);
+	g_hash_table_destroy(l->refusals);
 	g_free(l);
 }
 
@@ -113,9 +113,9 @@
 	return l->bound_ms[p];
 }
 
-/* The time in a key ORGANISATION/UUIDv7, or -1 for an opaque key. */
+/* The timestamp of a key ORGANISATION/UUIDv7, or -1 for an opaque key. */
 static int64_t
-stamp_of(const char *key)
+key_timestamp(const char *key)
 {
 	const char *raw = strchr(key, '/');
 
@@ -123,11 +123,11 @@
 }
 
 /*
- * A full ledger forgets its oldest ended rows; the bound rises with them,
- * so a forgotten key is refused rather than run a second time.
+ * Evicts the oldest completed rows of a full ledger.  The bound is raised to
+ * their timestamps, so that an evicted key is refused and not run again.
  */
 static void
-make_room(struct mh_ledger *l)
+evict_rows(struct mh_ledger *l)
 {
 	for (GList *n = l->order.head;
 	     n != NULL && g_hash_table_size(l->rows) >= l->limit;) {
@@ -147,7 +147,7 @@
 {
 	struct mh_ledger_row *r = g_new0(struct mh_ledger_row, 1);
 
-	make_room(l);
+	evict_rows(l);
 	r->key = g_strdup(key);
 	r->partition = p;
 	r->stamp_ms = stamp_ms;
@@ -157,7 +157,7 @@
 }
 
 static enum mh_ledger_verdict
-ask_known(struct mh_ledger_row *r, const struct mh_ledger_ask *a)
+check_known(struct mh_ledger_row *r, const struct mh_ledger_ask *a)
 {
 	if (r->body_hash != 0 && r->body_hash != a->body_hash)
 		return MH_LEDGER_MISMATCH;
@@ -174,7 +174,7 @@
 }
 
 static enum mh_ledger_verdict
-ask_stamped(
+check_timestamped(
     struct mh_ledger *l, const struct mh_ledger_ask *a, int64_t stamp_ms)
 {
 	if (stamp_ms > a->now_ms + a->skew_ms)
@@ -186,12 +186,12 @@
 }
 
 /*
- * An opaque key tells no time, so nothing proves that it is new to a ledger
- * that does not cover the whole retention time: it may have run before the
- * restart, takeover or eviction that the bound tells of.
+ * An opaque key has no timestamp, so a ledger that does not cover the whole
+ * retention time cannot show that the key is new: it may have run before the
+ * restart, takeover or eviction that set the bound.
  */
 static enum mh_ledger_verdict
-ask_opaque(struct mh_ledger *l, const struct mh_ledger_ask *a)
+check_opaque(struct mh_ledger *l, const struct mh_ledger_ask *a)
 {
 	int64_t bound = l->bound_ms[a->partition];
 
@@ -201,16 +201,16 @@
 }
 
 /*
- * A copy of a call that was told "not run" may still stand in a dead
- * connection.  Requests are ordered by id: up to the marked one none ever
- * runs here, a later one is the caller asking again and is judged anew.
+ * A copy of a call that was refused as "not run" may still arrive from a broken
+ * connection.  Request ids are ordered by time: none up to the refused id ever
+ * runs here.  A later id is a retry by the caller and is checked again.
  */
 static bool
-marked(struct mh_ledger *l, const struct mh_ledger_ask *a)
+is_refused(struct mh_ledger *l, const struct mh_ledger_ask *a)
 {
-	const struct mark *m = g_hash_table_lookup(l->marks, a->key);
+	const struct refusal *m = g_hash_table_lookup(l->refusals, a->key);
 
-	if (memcmp(a->request, l->floor, MH_ID_LEN) <= 0)
+	if (memcmp(a->request, l->refused_floor, MH_ID_LEN) <= 0)
 		return true;
 	return m != NULL && memcmp(a->request, m->request, MH_ID_LEN) <= 0;
 }
@@ -219,14 +219,15 @@
 mh_ledger_ask(struct mh_ledger *l, const struct mh_ledger_ask *a)
 {
 	struct mh_ledger_row *r = g_hash_table_lookup(l->rows, a->key);
-	int64_t stamp_ms = stamp_of(a->key);
+	int64_t stamp_ms = key_timestamp(a->key);
 	enum mh_ledger_verdict v;
 
-	if (marked(l, a))
-		return MH_LEDGER_MARKED;
+	if (is_refused(l, a))
+		return MH_LEDGER_REFUSED;
 	if (r != NULL)
-		return ask_known(r, a);
-	v = stamp_ms >= 0 ? ask_stamped(l, a, stamp_ms) : ask_opaque(l, a);
+		return check_known(r, a);
+	v = stamp_ms >= 0 ? check_timestamped(l, a, stamp_ms)
+			  : check_opaque(l, a);
 	if (v != MH_LEDGER_RUN)
 		return v;
 	r = add_row(
@@ -237,44 +238,45 @@
 }
 
 static void
-raise_to(uint8_t *id, const uint8_t *request)
+raise_id(uint8_t *id, const uint8_t *request)
 {
 	if (memcmp(request, id, MH_ID_LEN) > 0)
 		memcpy(id, request, MH_ID_LEN);
 }
 
 /*
- * Marks are bounded in number.  What is forgotten raises the floor: request
- * ids grow with time, so only requests about as old are refused with it.
+ * The number of refusals is bounded.  Evicting one raises the floor to its
+ * request id.  Ids increase with time, so this refuses only requests that are
+ * about as old or older.
  */
 static void
-forget_mark(struct mh_ledger *l, bool raise)
+evict_refusal(struct mh_ledger *l, bool raise)
 {
-	struct mark *m = g_queue_pop_head(&l->mark_order);
+	struct refusal *m = g_queue_pop_head(&l->refusal_order);
 
 	if (raise)
-		raise_to(l->floor, m->request);
-	g_hash_table_remove(l->marks, m->key);
+		raise_id(l->refused_floor, m->request);
+	g_hash_table_remove(l->refusals, m->key);
 }
 
 void
 mh_ledger_refuse(struct mh_ledger *l, const char *key, const uint8_t *request,
     int64_t now_ms)
 {
-	struct mark *m = g_hash_table_lookup(l->marks, key);
+	struct refusal *m = g_hash_table_lookup(l->refusals, key);
 
 	if (m == NULL) {
-		if (g_hash_table_size(l->marks) >= l->limit)
-			forget_mark(l, true);
-		m = g_new0(struct mark, 1);
+		if (g_hash_table_size(l->refusals) >= l->limit)
+			evict_refusal(l, true);
+		m = g_new0(struct refusal, 1);
 		m->key = g_strdup(key);
-		g_hash_table_insert(l->marks, m->key, m);
+		g_hash_table_insert(l->refusals, m->key, m);
 	} else {
-		g_queue_remove(&l->mark_order, m);
+		g_queue_remove(&l->refusal_order, m);
 	}
 	m->at_ms = now_ms;
-	raise_to(m->request, request);
-	g_queue_push_tail(&l->mark_order, m);
+	raise_id(m->request, request);
+	g_queue_push_tail(&l->refusal_order, m);
 }
 
 void
@@ -304,7 +306,7 @@
 bool
 mh_ledger_may_have_run(const struct mh_ledger *l, uint32_t p, const char *key)
 {
-	int64_t stamp_ms = stamp_of(key);
+	int64_t stamp_ms = key_timestamp(key);
 
 	if (stamp_ms >= 0)
 		return stamp_ms <= l->bound_ms[p];
@@ -312,7 +314,7 @@
 }
 
 Mh__Outcome
-mh_ledger_known(const struct mh_ledger *l, uint32_t p, const char *key)
+mh_ledger_outcome(const struct mh_ledger *l, uint32_t p, const char *key)
 {
 	const struct mh_ledger_row *r = mh_ledger_find(l, key);
 
@@ -327,10 +329,10 @@
     struct mh_ledger *l, uint32_t p, const char *key, int64_t now_ms)
 {
 	struct mh_ledger_row *r = g_hash_table_lookup(l->rows, key);
-	int64_t stamp_ms = stamp_of(key);
+	int64_t stamp_ms = key_timestamp(key);
 
 	if (r == NULL) {
-		/* Before the bound it may have run: nothing to promise. */
+		/* The key may have run: "not run" cannot be promised. */
 		if (mh_ledger_may_have_run(l, p, key))
 			return NULL;
 		r = add_row(l, p, key, stamp_ms >= 0 ? stamp_ms : now_ms);
@@ -349,12 +351,12 @@
 mh_ledger_expire(struct mh_ledger *l, int64_t now_ms, int64_t retention_ms)
 {
 	struct mh_ledger_row *r;
-	struct mark *m;
+	struct refusal *m;
 	int64_t before_ms = now_ms - retention_ms;
 
-	while ((m = g_queue_peek_head(&l->mark_order)) != NULL &&
+	while ((m = g_queue_peek_head(&l->refusal_order)) != NULL &&
 	    m->at_ms < before_ms)
-		forget_mark(l, false);
+		evict_refusal(l, false);
 	while ((r = g_queue_peek_head(&l->order)) != NULL &&
 	    r->stamp_ms < before_ms && r->outcome != MH__OUTCOME__RUNNING)
 		drop(l, r);
@@ -379,7 +381,7 @@
 
 	if (r == NULL)
 		r = add_row(l, p, e->key, (int64_t)e->stamp_ms);
-	/* What still ran at the old owner may have ended either way. */
+	/* A call that ran at the old owner may have completed or failed. */
 	r->outcome = e->outcome == MH__OUTCOME__RUNNING ? MH__OUTCOME__UNKNOWN
 							: e->outcome;
 	r->status = e->status;
--- a/lib/marlhoist.h
+++ b/lib/marlhoist.h
@@ -4,9 +4,10 @@
 /*
  * libmarlhoist: decision services, wire codec and adapters.
  *
- * The parts are grouped by the file that defines them.  Nothing above the
- * line "I/O services" opens a socket, reads the system clock or keeps a
- * static: a program may create many kernels and drive them in virtual time.
+ * The sections are named after the files that define them.  The code of the
+ * sections above "I/O services" opens no sockets, does not read the system
+ * clock and has no mutable static variables, so a program can create several
+ * kernels and run them in virtual time.
  */
 
 #include <sys/types.h>
@@ -27,7 +28,7 @@
 #define MH_HASH_LEN 32 /* a key's BLAKE2b hash */
 #define MH_PARTITIONS 32 /* at-most-once partitions of a service */
 #define MH_MAX_FRAME (4U << 20) /* bytes of one frame */
-#define MH_MAX_BODY (1U << 20) /* bytes of a caller's body */
+#define MH_MAX_BODY (1U << 20) /* bytes of a caller's request body */
 
 /* err.c */
 
@@ -272,7 +273,7 @@
 enum mh_admission { MH_ADMIT_DEADLINE, MH_ADMIT_ALL };
 enum mh_retrying { MH_RETRY_BUDGET, MH_RETRY_PLAIN };
 
-/** struct mh_policy - which of the decisions are in force. */
+/** struct mh_policy - configured policies and their parameters. */
 struct mh_policy {
 	uint32_t routing;
 	uint32_t queueing;
@@ -282,10 +283,10 @@
 	bool affinity;
 	int64_t fixed_timeout_us;
 	double retry_share;
-	int64_t retention_us; /* ledger entries are kept this long */
-	int64_t skew_us; /* clocks of VMs agree within this */
-	int64_t vm_gone_us; /* absence that the list cannot explain by lag */
-	double weight_in; /* weighted tokens, cf. docs/MEASUREMENTS.md */
+	int64_t retention_us; /* ledger rows are kept this long */
+	int64_t skew_us; /* largest clock difference between VMs */
+	int64_t vm_removed_us; /* a VM unlisted for longer is removed */
+	double weight_in; /* cost of a token, see docs/MEASUREMENTS.md */
 	double weight_cached;
 	double weight_out;
 };
@@ -294,7 +295,7 @@
 	char *name;
 	uint32_t priority;
 	int64_t deadline_us;
-	double share; /* part of the starts kept for this class */
+	double share; /* share of the starts reserved for this class */
 };
 
 struct mh_pool {
@@ -303,8 +304,8 @@
 	bool checks_fencing;
 	bool honours_priority;
 	bool prefix_cache;
-	int64_t warmup_us; /* an endpoint is cold so long after its start */
-	double cold_per_s; /* calls that a cold one bears; 0: any */
+	int64_t warmup_us; /* an endpoint is cold this long after its start */
+	double cold_per_s; /* calls a cold endpoint can take; 0: any */
 };
 
 struct mh_stage {
@@ -322,7 +323,7 @@
 
 struct mh_pipeline {
 	char *name;
-	GPtrArray *stages;
+	GPtrArray *stages; /* struct mh_stage */
 	uint32_t line;
 };
 
@@ -355,7 +356,7 @@
 struct mh_key {
 	char *hash_hex;
 	uint8_t hash[MH_HASH_LEN];
-	double units_per_s; /* 0: only the organisation's limit */
+	double units_per_s; /* 0: limited by the organisation only */
 	uint32_t streams;
 	bool operator_key;
 };
@@ -370,7 +371,7 @@
 	uint32_t line;
 };
 
-/** struct mh_decl - one checked declaration document, reference counted. */
+/** struct mh_decl - a valid declaration document, reference counted. */
 struct mh_decl {
 	int refs;
 	uint64_t generation;
@@ -381,10 +382,11 @@
 	GPtrArray *pipelines;
 	GPtrArray *rules;
 	GPtrArray *orgs;
-	GPtrArray *evacuated; /* failure domains; NULL: none is */
-	GHashTable *by_key; /* hash -> struct mh_key_owner */
+	GPtrArray *evacuated; /* failure domains; NULL: none */
+	GHashTable *by_key; /* hash -> struct mh_key_match */
 };
 
+/** struct mh_key_match - a declared key and its organisation. */
 struct mh_key_owner {
 	struct mh_org *org;
 	struct mh_key *key;
@@ -393,8 +395,8 @@
 /**
  * mh_decl_read() - reads and checks a YAML declaration document.
  *
- * Return: the document with one reference, or NULL with @err saying line,
- * field, reason and remedy.
+ * Return: the document with one reference, or NULL with @err, whose message
+ * names the line, the field, the reason and the remedy.
  */
 struct mh_decl *mh_decl_read(GBytes *doc, GError **err);
 struct mh_decl *mh_decl_ref(struct mh_decl *d);
@@ -403,42 +405,43 @@
 struct mh_class *mh_decl_class(const struct mh_decl *d, const char *n);
 struct mh_pool *mh_decl_pool(const struct mh_decl *d, const char *n);
 struct mh_org *mh_decl_org(const struct mh_decl *d, const char *n);
-/** mh_decl_evacuated() - whether a failure domain is to get nothing. */
+/** mh_decl_evacuated() - true if a failure domain must get no new work. */
 bool mh_decl_evacuated(const struct mh_decl *d, const char *domain);
 /**
  * mh_decl_with_evacuated() - a document that evacuates exactly @domains.
  *
- * Return: the new text, good as mh_decl_read() takes it, or NULL with @err.
+ * Return: the new text, valid for mh_decl_read() and owned by the caller, or
+ * NULL with @err.
  */
 GBytes *mh_decl_with_evacuated(
     GBytes *doc, const GPtrArray *domains, GError **err);
-/** mh_domain_ok() - whether a text can name a failure domain. */
+/** mh_domain_ok() - true if @name is a valid name of a failure domain. */
 bool mh_domain_ok(const char *name);
-/** mh_decl_find_key() - constant time in the key's content. */
+/** mh_decl_find_key() - the record of a key, or NULL; in constant time. */
 const struct mh_key_owner *mh_decl_find_key(
     const struct mh_decl *d, const char *key);
-/** mh_key_hash() - BLAKE2b-256 of a key as stored in declarations. */
+/** mh_key_hash() - BLAKE2b-256 of a key, which declarations store as hex. */
 void mh_key_hash(const char *key, uint8_t hash[MH_HASH_LEN]);
 
-/* declread.c: the table-driven reader under decl.c */
+/* declread.c: table-driven reader of declarations */
 
 enum mh_field_type {
 	MH_F_STR,
 	MH_F_BOOL,
 	MH_F_U32,
 	MH_F_DOUBLE,
-	MH_F_MS, /* milliseconds into microseconds */
+	MH_F_MS, /* milliseconds, stored as microseconds */
 	MH_F_ENUM,
 	MH_F_STRS, /* a string or a list of strings */
-	MH_F_MAP, /* string to string */
+	MH_F_MAP, /* a mapping of strings to strings */
 	MH_F_LIST, /* a list of mappings with their own table */
 	MH_F_STRUCT, /* one mapping with its own table */
-	MH_F_LINE /* filled with the line of the mapping */
+	MH_F_LINE /* not read: set to the line number of the mapping */
 };
 
 struct mh_table;
 
-/** struct mh_field - one field that a mapping may hold. */
+/** struct mh_field - one field of a mapping. */
 struct mh_field {
 	const char *name;
 	enum mh_field_type type;
@@ -446,20 +449,20 @@
 	bool required;
 	double min;
 	double max;
-	const char *const *words; /* MH_F_ENUM */
+	const char *const *words; /* MH_F_ENUM: values, NULL at the end */
 	const struct mh_table *table; /* MH_F_LIST, MH_F_STRUCT */
 };
 
 /** struct mh_table - the fields of one mapping. */
 struct mh_table {
-	const char *what;
-	size_t size;
+	const char *what; /* name in error messages */
+	size_t size; /* bytes of the struct */
 	const struct mh_field *fields;
 	GDestroyNotify destroy;
-	void (*init)(void *item); /* NULL: every default is zero */
+	void (*init)(void *item); /* sets defaults; NULL: all zero */
 };
 
-/** mh_yaml_read() - fills @out as @table says; strict about every field. */
+/** mh_yaml_read() - reads @doc into @out; absent fields are not changed. */
 bool mh_yaml_read(
     GBytes *doc, const struct mh_table *table, void *out, GError **err);
 
@@ -511,13 +514,18 @@
 uint64_t mh_conf_generation(struct mh_kern *k);
 /** mh_conf_on_change() - called after each new generation is in force. */
 void mh_conf_on_change(struct mh_kern *k, mh_conf_fn fn, void *arg);
-/** mh_conf_see() - a peer on @conn showed @generation. */
+/** mh_conf_peer_generation() - the peer on @conn has @generation. */
 void mh_conf_see(struct mh_kern *k, uint64_t conn, uint64_t generation);
-/** mh_conf_load() - takes a document directly (tests, embedding). */
+/**
+ * mh_conf_load() - puts a document in force without the KV service.
+ *
+ * Return: true, also if a generation at least as new is in force; false with
+ * @err if the document is invalid.
+ */
 bool mh_conf_load(
     struct mh_kern *k, uint64_t generation, GBytes *doc, GError **err);
 json_t *mh_conf_state(struct mh_kern *k);
-/** mh_conf_head_make() - the KV head value for a new document. */
+/** mh_conf_head_make() - the KV head value of a new document, owned. */
 GBytes *mh_conf_head_make(uint64_t generation, const char *write_id,
     GBytes *doc, uint64_t base, GBytes *base_doc, json_t *history);
 #define MH_CONF_HEAD "config/head"
@@ -744,16 +752,16 @@
 struct mh_peer *mh_call_peer(const struct mh_call *c);
 uint32_t mh_relay_open(struct mh_kern *k);
 
-/* owner.c: the owners' table, on entries and side processes */
+/* owner.c: the owner table of a service, in entries and side processes */
 
 struct mh_owners;
 
-/** struct mh_part - one partition's owner. */
+/** struct mh_partition - the owner of one partition. */
 struct mh_part {
-	char *vm; /* "" for none */
-	uint64_t incarnation;
-	uint64_t epoch;
-	int64_t bound_ms;
+	char *vm; /* "": none */
+	uint64_t incarnation; /* of the side process */
+	uint64_t epoch; /* incremented by each change of the owner */
+	int64_t bound_ms; /* keys up to this time may have run; Unix time */
 };
 
 struct mh_owners *mh_owners_create(const char *service);
@@ -762,12 +770,13 @@
 void mh_owners_set(struct mh_owners *o, uint32_t p, const char *vm,
     uint64_t incarnation, uint64_t epoch, int64_t bound_ms);
 void mh_owners_set_version(struct mh_owners *o, uint64_t version);
-/** mh_owners_parse() - from the KV's JSON; false when malformed. */
+/** mh_owners_parse() - reads the JSON of the KV service; false: malformed. */
 bool mh_owners_parse(struct mh_owners *o, GBytes *value);
+/** mh_owners_serialize() - the JSON for the KV service, owned. */
 GBytes *mh_owners_print(const struct mh_owners *o);
-/** mh_owners_ahead() - this table knows epochs that the KV lost. */
-bool mh_owners_ahead(const struct mh_owners *o);
-/** mh_owners_take() - from a peer's frame; older versions are refused. */
+/** mh_owners_kv_stale() - the last table parsed had an older epoch. */
+bool mh_owners_kv_stale(const struct mh_owners *o);
+/** mh_owners_merge() - takes newer epochs from a frame; true if any. */
 bool mh_owners_take(struct mh_owners *o, const Mh__Owners *f);
 void mh_owners_send(
     struct mh_kern *k, const struct mh_owners *o, uint64_t conn);
@@ -886,16 +895,16 @@
 
 struct mh_ledger;
 
-/** enum mh_ledger_verdict - may this key run here, now? */
+/** enum mh_ledger_verdict - what to do with a call, by its key. */
 enum mh_ledger_verdict {
 	MH_LEDGER_RUN, /* entered as running: the caller must run it */
-	MH_LEDGER_ATTACH, /* runs already: wait for its end */
-	MH_LEDGER_DONE, /* the stored answer */
-	MH_LEDGER_MARKED, /* this request was refused: it never runs */
-	MH_LEDGER_REVOKED, /* the key never runs */
-	MH_LEDGER_UNKNOWN, /* may have run before this ledger's memory */
-	MH_LEDGER_MISMATCH, /* same key, other body */
-	MH_LEDGER_FUTURE /* stamped beyond the skew allowance */
+	MH_LEDGER_ATTACH, /* is running: wait for its result */
+	MH_LEDGER_DONE, /* return the stored result */
+	MH_LEDGER_REFUSED, /* this request was refused and must not run */
+	MH_LEDGER_REVOKED, /* the key was revoked and must not run */
+	MH_LEDGER_UNKNOWN, /* may have run, with an unknown result */
+	MH_LEDGER_MISMATCH, /* the key came with another body before */
+	MH_LEDGER_FUTURE /* timestamp beyond the allowed clock skew */
 };
 
 struct mh_ledger_row {
@@ -904,70 +913,77 @@
 	uint32_t status;
 	GBytes *body;
 	uint64_t body_hash;
-	int64_t stamp_ms; /* key's own time, or when it came */
+	int64_t stamp_ms; /* timestamp of the key, or its arrival; Unix time */
 	uint32_t partition;
 };
 
 struct mh_ledger *mh_ledger_create(uint32_t limit);
 void mh_ledger_destroy(struct mh_ledger *l);
-/** mh_ledger_open() - start owning @p: keys up to @bound_ms never run. */
+/** mh_ledger_open() - opens @p; keys up to @bound_ms do not run. */
 void mh_ledger_open(struct mh_ledger *l, uint32_t p, int64_t bound_ms);
 void mh_ledger_close(struct mh_ledger *l, uint32_t p);
 int64_t mh_ledger_bound(const struct mh_ledger *l, uint32_t p);
-/** struct mh_ledger_ask - one call that asks to run. */
+/** struct mh_ledger_request - a call to be run. */
 struct mh_ledger_ask {
 	uint32_t partition;
 	const char *key;
-	const uint8_t *request; /* MH_ID_LEN bytes */
+	const uint8_t *request; /* id of MH_ID_LEN bytes */
 	uint64_t body_hash;
 	int64_t now_ms;
 	int64_t skew_ms;
 	int64_t retention_ms;
 };
+/** mh_ledger_request() - decides on a call; with RUN the row is added. */
 enum mh_ledger_verdict mh_ledger_ask(
     struct mh_ledger *l, const struct mh_ledger_ask *a);
-/** mh_ledger_refuse() - it never started and that request never will. */
+/** mh_ledger_refuse() - records that @request has not run and must not. */
 void mh_ledger_refuse(struct mh_ledger *l, const char *key,
     const uint8_t *request, int64_t now_ms);
-/** mh_ledger_undo() - forgets a row that was entered and never started. */
+/** mh_ledger_undo() - removes the row of a call that did not run. */
 void mh_ledger_undo(struct mh_ledger *l, const char *key);
 void mh_ledger_end(struct mh_ledger *l, const char *key, Mh__Outcome outcome,
     uint32_t status, GBytes *body);
-/** mh_ledger_revoke() - tombstones an unseen key; returns its row. */
+/**
+ * mh_ledger_revoke() - adds a row to a key without one, so it never runs.
+ *
+ * Return: the row of the key, which may be of an earlier run; NULL if the key
+ * has none and may have run.
+ */
 const struct mh_ledger_row *mh_ledger_revoke(
     struct mh_ledger *l, uint32_t p, const char *key, int64_t now_ms);
-/** mh_ledger_may_have_run() - the bound does not rule it out. */
+/** mh_ledger_may_have_run() - for a key without a row, by the bound. */
 bool mh_ledger_may_have_run(
     const struct mh_ledger *l, uint32_t p, const char *key);
 const struct mh_ledger_row *mh_ledger_find(
     const struct mh_ledger *l, const char *key);
 /**
- * mh_ledger_known() - what became of a key, as far as the ledger tells.
+ * mh_ledger_outcome() - the outcome of a key.
  *
- * NOT_RUN only where it tells of the key's whole life: it was never started.
+ * Return: NOT_RUN only if the ledger shows that the key never ran; UNKNOWN if
+ * the key has no row and may have run.
  */
-Mh__Outcome mh_ledger_known(
+Mh__Outcome mh_ledger_outcome(
     const struct mh_ledger *l, uint32_t p, const char *key);
 void mh_ledger_expire(
     struct mh_ledger *l, int64_t now_ms, int64_t retention_ms);
-/** mh_ledger_rows() - the rows of a partition (borrowed). */
+/** mh_ledger_rows() - the rows of a partition; free the array only. */
 GPtrArray *mh_ledger_rows(const struct mh_ledger *l, uint32_t p);
-/** mh_ledger_add() - a row received by hand-over. */
+/** mh_ledger_add() - adds a row received in a handover. */
 void mh_ledger_add(struct mh_ledger *l, uint32_t p, const Mh__LedgerEntry *e);
 uint32_t mh_ledger_len(const struct mh_ledger *l);
 
-/* claim.c: service "claim", ownership of partitions on a side process */
+/* claim.c: service "claim", the partitions that a side process owns */
 
 void mh_claim_create(struct mh_kern *k, const char *vm, const char *pool,
     uint64_t incarnation, struct mh_ledger *l);
-/** mh_claim_owns() - may partition @p's calls start here, now? */
+/** mh_claim_owns() - true if calls of @p may start here, in this epoch. */
 bool mh_claim_owns(struct mh_kern *k, uint32_t p, uint64_t epoch);
-/** mh_claim_knows() - can nobody else start @p's calls now, or since? */
-bool mh_claim_knows(struct mh_kern *k, uint32_t p);
-/** mh_claim_open() - is this the confirmed owner of @p, moving or not? */
+/** mh_claim_exclusive() - true if no other process can start calls of @p. */
+bool mh_claim_exclusive(struct mh_kern *k, uint32_t p);
+/** mh_claim_open() - true if this is the owner, also during a handover. */
 bool mh_claim_open(struct mh_kern *k, uint32_t p);
 void mh_claim_drain(struct mh_kern *k);
-/** mh_claim_count() - partitions still owned or on their way in. */
+/** mh_claim_count() - partitions owned or being received by handover. */
 uint32_t mh_claim_count(struct mh_kern *k);
 /** mh_claim_busy() - a call of partition @p started (+1) or ended (-1). */
 void mh_claim_busy(struct mh_kern *k, uint32_t p, int delta);
@@ -979,38 +995,39 @@
 enum mh_refusal {
 	WHY_NONE,
 	WHY_FULL,
-	WHY_LATE, /* it could not have ended in time */
+	WHY_LATE, /* it cannot finish before its deadline */
 	WHY_LEAVING,
 	WHY_NOT_OWNER, /* of the key's partition, or not in that epoch */
-	WHY_MARKED, /* this call was refused before */
-	WHY_REVOKED, /* the key was revoked for good */
+	WHY_MARKED, /* this request was refused before */
+	WHY_REVOKED, /* the key was revoked */
 	WHY_MISMATCH, /* the key came with another body before */
-	WHY_FUTURE, /* the key is stamped in the future */
-	WHY_HELD /* endpoints end under its request */
+	WHY_FUTURE, /* the key's timestamp is in the future */
+	WHY_HELD /* endpoints crash on its request */
 };
 
-/** struct mh_side_args - a side process's place and size. */
+/** struct mh_side_args - identity and capacity of a side process. */
 struct mh_side_args {
 	const char *vm;
 	const char *domain;
 	const char *pool;
 	uint64_t incarnation;
-	uint32_t slots; /* calls at the endpoint at once */
-	uint32_t queue_limit;
+	uint32_t slots; /* calls that run at the endpoint at once */
+	uint32_t queue_limit; /* calls */
 };
 
 void mh_side_create(struct mh_kern *k, const struct mh_side_args *a);
 /**
- * mh_side_drain() - tell every entry, hand over, finish, then idle.
+ * mh_side_drain() - starts to drain this side process.
  *
- * The process is killed @grace_us later, MH_GRACE_MIN_S at least: before
- * that every call has its answer.  What can't end in time does not start,
- * what still runs is cut.
+ * Announces the drain to the peers, refuses new calls and hands over the
+ * partitions.  The process is killed after @grace_us, at least MH_GRACE_MIN_S.
+ * Before that every call gets a result: a call that cannot finish in time is
+ * not started, and one that still runs is aborted.
  */
 void mh_side_drain(struct mh_kern *k, int64_t grace_us);
-/** mh_side_idle() - drained and nothing left to send. */
+/** mh_side_idle() - true if draining without calls, orders, partitions. */
 bool mh_side_idle(struct mh_kern *k);
-/** mh_side_load() - fills the load; false when this is no side process. */
+/** mh_side_load() - fills in @l; false if this is not a side process. */
 bool mh_side_load(
     struct mh_kern *k, Mh__Load *l, uint64_t wait_us[MH_PRIORITIES]);
 json_t *mh_side_state(struct mh_kern *k);
@@ -1095,7 +1112,7 @@
 /* kv.c: service "kv"; vmlist.c: service "vmlist"; endpoint.c: "endpoint" */
 
 void mh_kv_create(struct mh_kern *k, struct mh_client *c, const char *url);
-/** mh_kv_value() - the value in an answer to a GET; NULL: malformed. */
+/** mh_kv_value() - the value of a GET response, owned; NULL: malformed. */
 GBytes *mh_kv_value(const void *data, size_t len, uint64_t *cas);
 void mh_vmlist_create(struct mh_kern *k, struct mh_client *c, const char *url);
 void mh_endpoint_create(
--- a/lib/owner.c
+++ b/lib/owner.c
@@ -1,7 +1,8 @@
 /**
- * DOC: The owners' table of one service: who may start calls of each
- * at-most-once partition.  Kept in the KV service as one small JSON value,
- * changed only by compare-and-swap; a partition's epoch only grows.
+ * DOC: The owner table of one service: for each at-most-once partition, the
+ * side process that may start its calls.  It is stored in the KV service as one
+ * small JSON value and changed only by compare-and-swap.  The epoch of a
+ * partition only increases.
  */
 
 #include "marlhoist.h"
@@ -11,7 +12,7 @@
 struct mh_owners {
 	char *service;
 	uint64_t version; /* the KV's modify index */
-	bool ahead;
+	bool kv_stale;
 	struct mh_part part[MH_PARTITIONS];
 };
 
@@ -63,7 +64,7 @@
 	g_free(old);
 }
 
-/* Incarnations have 64 bits, JSON integers 63: they travel as text. */
+/* Incarnations have 64 bits and JSON integers 63: they are sent as text. */
 static bool
 parse_part(struct mh_owners *o, uint32_t p, json_t *j)
 {
@@ -74,9 +75,9 @@
 		&inc, "epoch", &epoch, "bound_ms", &bound) != 0 ||
 	    epoch < 0)
 		return false;
-	/* A restored KV may show the past; an epoch never goes back. */
+	/* A restored KV service may have an old table: keep the newer epoch. */
 	if ((uint64_t)epoch < o->part[p].epoch) {
-		o->ahead = true;
+		o->kv_stale = true;
 		return true;
 	}
 	mh_owners_set(
@@ -92,7 +93,7 @@
 	json_t *a = json_loadb(data, len, 0, NULL);
 	bool ok = json_array_size(a) == MH_PARTITIONS;
 
-	o->ahead = false;
+	o->kv_stale = false;
 	for (uint32_t p = 0; ok && p < MH_PARTITIONS; p++)
 		ok = parse_part(o, p, json_array_get(a, p));
 	json_decref(a);
@@ -100,9 +101,9 @@
 }
 
 bool
-mh_owners_ahead(const struct mh_owners *o)
+mh_owners_kv_stale(const struct mh_owners *o)
 {
-	return o->ahead;
+	return o->kv_stale;
 }
 
 GBytes *
--- a/lib/side.c
+++ b/lib/side.c
@@ -1,9 +1,9 @@
 /**
- * DOC: The side process: the only way into its endpoint.
+ * DOC: The side process: the only process that calls its endpoint.
  *
- * Holds the bounded queue, the at-most-once ledger and every unacknowledged
- * result.  A call is known by its id; the same call arriving again, on any
- * link, is resumed and never run a second time.
+ * Keeps the bounded queue, the at-most-once ledger and every result that its
+ * entry has not acknowledged.  Calls are identified by their id: a call that
+ * arrives again, on any link, is resumed and not run a second time.
  */
 
 #include "side.h"
@@ -12,15 +12,16 @@
 #include <string.h>
 
 #define TICK_US (100 * MH_US_PER_MS)
-#define KEEP_US (5 * MH_US_PER_S) /* results, past their deadline */
-#define ORPHAN_US (1 * MH_US_PER_S) /* no link to the asking entry */
+#define RESULT_KEEP_US (5 * MH_US_PER_S) /* after the call's deadline */
+#define ORPHAN_TIMEOUT_US (1 * MH_US_PER_S) /* no link to its entry */
 #define LEDGER_LIMIT 65536
-#define ORDER_US (10 * MH_US_PER_S) /* an engine answers its orders in this */
+#define ORDER_TIMEOUT_US (10 * MH_US_PER_S)
 /*
- * Between the last answer and the kill: a link that just broke is
- * found silent (200 ms), dialled again (300 ms) and asks for its results.
+ * Time reserved before the kill to deliver the last results.  A link that has
+ * just broken is detected (200 ms) and dialled again (300 ms), and its entry
+ * then requests the results.
  */
-#define TELL_US (1 * MH_US_PER_S)
+#define RESULT_DELIVERY_US (1 * MH_US_PER_S)
 
 static struct side *
 get(struct mh_kern *k)
@@ -73,8 +74,8 @@
 	c = call_new(s, conn, f->call);
 	if (s->draining)
 		call_refuse(c, WHY_LEAVING, 0);
-	else if (c->never)
-		call_decide_once(s, c);
+	else if (c->at_most_once)
+		call_admit_once(s, c);
 	else
 		call_enqueue(s, c);
 }
@@ -180,19 +181,19 @@
 	return p != NULL && p->checks_fencing;
 }
 
-/* A draining process answers its orders before it ends, too. */
+/* While draining, orders must complete before the drain deadline, too. */
 static int64_t
-order_time(const struct side *s)
+order_timeout(const struct side *s)
 {
 	if (!s->draining)
-		return ORDER_US;
-	return CLAMP(s->end_us - mh_now(s->k), 0, ORDER_US);
+		return ORDER_TIMEOUT_US;
+	return CLAMP(s->drain_deadline_us - mh_now(s->k), 0, ORDER_TIMEOUT_US);
 }
 
 /*
- * An order with an old fencing number comes from a holder whose lease
- * lapsed while it was paused.  Engines that do not check would obey it, so
- * it is refused here on their behalf.
+ * An order with an old fencing number comes from a lease holder whose lease
+ * expired while it was paused.  An endpoint that does not check fencing numbers
+ * would execute the order, so the side process refuses it.
  */
 static void
 on_order(void *arg, uint64_t conn, const Mh__Frame *in)
@@ -224,7 +225,7 @@
 	run->u.run.run = mh_next_id(s->k);
 	run->u.run.kind = MH_SERVICE;
 	run->u.run.path = g_strdup("/v1/orders");
-	run->u.run.timeout_us = order_time(s);
+	run->u.run.timeout_us = order_timeout(s);
 	body = json_pack("{s:I, s:s, s:s}", "fence", (json_int_t)m->fence,
 	    "verb", m->verb, "subject", m->subject);
 	text = json_dumps(body, JSON_COMPACT);
@@ -236,37 +237,37 @@
 	mh_post(s->k, "endpoint", run);
 }
 
-/* An entry that died leaves calls that nobody will ever ask for. */
+/* The calls of a crashed entry are dropped: nobody will request them. */
 static bool
 orphaned(struct side *s, struct call *c)
 {
 	if (mh_member_conn(s->k, c->conn) != NULL) {
-		c->orphan_us = 0;
+		c->orphan_since_us = 0;
 		return false;
 	}
-	if (c->orphan_us == 0)
-		c->orphan_us = mh_now(s->k);
-	return mh_now(s->k) - c->orphan_us > ORPHAN_US;
+	if (c->orphan_since_us == 0)
+		c->orphan_since_us = mh_now(s->k);
+	return mh_now(s->k) - c->orphan_since_us > ORPHAN_TIMEOUT_US;
 }
 
 static void
-sweep(struct side *s)
+drop_expired_calls(struct side *s)
 {
-	GPtrArray *old = g_ptr_array_new();
+	GPtrArray *expired = g_ptr_array_new();
 	GHashTableIter it;
 	gpointer v;
 
 	g_hash_table_iter_init(&it, s->calls);
 	while (g_hash_table_iter_next(&it, NULL, &v)) {
 		struct call *c = v;
-		bool kept = mh_now(s->k) < c->item.deadline_us + KEEP_US;
+		bool keep = mh_now(s->k) < c->item.deadline_us + RESULT_KEEP_US;
 
-		if (c->state == ST_ENDED ? !kept : orphaned(s, c))
-			g_ptr_array_add(old, c);
+		if (c->state == ST_ENDED ? !keep : orphaned(s, c))
+			g_ptr_array_add(expired, c);
 	}
-	for (guint i = 0; i < old->len; i++)
-		call_cancel(old->pdata[i]);
-	g_ptr_array_free(old, TRUE);
+	for (guint i = 0; i < expired->len; i++)
+		call_cancel(expired->pdata[i]);
+	g_ptr_array_free(expired, TRUE);
 }
 
 static void
@@ -276,9 +277,9 @@
 	struct mh_decl *d = mh_conf_get(s->k);
 
 	s->tick = mh_timer_start(s->k, TICK_US, on_tick, s);
-	sweep(s);
-	if (s->draining && mh_now(s->k) >= s->end_us)
-		side_cut(s);
+	drop_expired_calls(s);
+	if (s->draining && mh_now(s->k) >= s->drain_deadline_us)
+		side_abort_runs(s);
 	side_pump(s);
 	if (d != NULL)
 		mh_ledger_expire(s->ledger, mh_wall(s->k) / MH_US_PER_MS,
@@ -299,14 +300,15 @@
 }
 
 /*
- * A call's own deadline may lie an hour ahead, beyond the end of the process.
- * Callers were left without a word, and a call that had never left the queue
- * was "unknown" for good, since only this process could tell.  With the end as
- * its deadline it is refused while it can still be told, and one that could
- * not finish is not started.
+ * A call's own deadline may be an hour ahead, long after this process is
+ * killed.  Without this limit its caller gets no response, and a call that
+ * never left the queue stays "unknown" for good, as only this process could
+ * report that it did not run.  With the drain deadline as the call's deadline,
+ * the call is refused while the refusal can still be sent, and a call that
+ * could not finish in time is not started.
  */
 static void
-bound_calls(struct side *s)
+limit_deadlines(struct side *s)
 {
 	GHashTableIter it;
 	gpointer v;
@@ -315,7 +317,8 @@
 	while (g_hash_table_iter_next(&it, NULL, &v)) {
 		struct call *c = v;
 
-		c->item.deadline_us = MIN(c->item.deadline_us, s->end_us);
+		c->item.deadline_us =
+		    MIN(c->item.deadline_us, s->drain_deadline_us);
 	}
 }
 
@@ -325,8 +328,8 @@
 	struct side *s = get(k);
 
 	s->draining = true;
-	s->end_us = mh_now(k) + grace_us - TELL_US;
-	bound_calls(s);
+	s->drain_deadline_us = mh_now(k) + grace_us - RESULT_DELIVERY_US;
+	limit_deadlines(s);
 	mh_member_drain(k);
 	mh_claim_drain(k);
 }
@@ -354,7 +357,7 @@
 	    mh_claim_state(k));
 }
 
-/* The end of a run that was an order; false when it was none. */
+/* Sends the result of an order; false if the run was not an order. */
 static bool
 order_ended(struct side *s, const struct mh_run_msg *m)
 {
@@ -402,7 +405,7 @@
 	g_hash_table_destroy(s->calls);
 	mh_queue_destroy(s->queue);
 	mh_ledger_destroy(s->ledger);
-	g_free(s->endpoint);
+	g_free(s->endpoint_id);
 	g_free(s->pool);
 	g_free(s);
 }
@@ -416,7 +419,7 @@
 	s->a = *a;
 	s->a.slots = MAX(a->slots, 1);
 	s->pool = g_strdup(a->pool);
-	side_name_endpoint(s);
+	side_set_endpoint_id(s);
 	s->factor = 1.0;
 	s->queue = mh_queue_create(a->queue_limit);
 	s->ledger = mh_ledger_create(LEDGER_LIMIT);
--- a/lib/sidecall.c
+++ b/lib/sidecall.c
@@ -1,6 +1,6 @@
 /**
- * DOC: One call's life at a side process: judged, queued, run, ended, kept
- * until acknowledged.
+ * DOC: Calls at a side process: admission, queueing, execution, and delivery of
+ * the result until the entry acknowledges it.
  */
 
 #include "side.h"
@@ -9,11 +9,11 @@
 
 #include <string.h>
 
-#define URGENT_SLOTS_PART 8 /* one slot in eight waits for priority 0 */
+#define URGENT_SLOTS_DIVISOR 8 /* one slot in eight is for priority 0 */
 #define URGENT_WAIT_US (250 * MH_US_PER_MS)
 #define FACTOR_GAIN 0.05
-#define RUN_MIN_US (20 * MH_US_PER_MS)
-#define MAX_RESULT (MH_MAX_FRAME - 4096) /* beside it a frame has little */
+#define RUN_TIMEOUT_MIN_US (20 * MH_US_PER_MS)
+#define MAX_RESULT_BYTES (MH_MAX_FRAME - 4096) /* rest: other fields */
 
 static const char *const refusal_names[] = { "none", "full", "late", "leaving",
 	"not_owner", "marked", "revoked", "mismatch", "future", "held" };
@@ -25,7 +25,7 @@
 
 	mh_queue_remove(c->s->queue, &c->item);
 	g_ptr_array_unref(c->chunks);
-	g_free(c->once);
+	g_free(c->once_key);
 	g_free(c->path);
 	g_free(c->org);
 	g_bytes_unref(c->body);
@@ -41,9 +41,9 @@
 }
 
 /*
- * Where slots come free rarely, one in eight is kept for the most urgent
- * class.  Elsewhere urgent work, first in the queue, gets the next free slot
- * soon enough, and a kept slot would only idle.
+ * Number of slots reserved for priority 0.  If slots become free rarely, one in
+ * eight is reserved.  Otherwise urgent calls, which are first in the queue, get
+ * a free slot soon enough, and a reserved slot would only be idle.
  */
 static uint32_t
 urgent_slots(const struct side *s)
@@ -51,13 +51,13 @@
 	struct mh_decl *d = mh_conf_get(s->k);
 
 	if (d == NULL || d->policy.queueing == MH_QUEUE_FIFO ||
-	    s->a.slots < URGENT_SLOTS_PART ||
+	    s->a.slots < URGENT_SLOTS_DIVISOR ||
 	    s->run_us / s->a.slots < URGENT_WAIT_US)
 		return 0;
-	return s->a.slots / URGENT_SLOTS_PART;
+	return s->a.slots / URGENT_SLOTS_DIVISOR;
 }
 
-/* Expected wait of a call of @priority that came now. */
+/* Expected queueing time of a call of @priority that arrives now. */
 static int64_t
 expected_wait(const struct side *s, uint32_t priority)
 {
@@ -140,9 +140,9 @@
 	r.body.len = len;
 	r.chunks = c->chunks->len;
 	r.endpoint_us = (uint64_t)c->endpoint_us;
-	r.tokens_in = c->used.tokens_in;
-	r.tokens_cached = c->used.tokens_cached;
-	r.tokens_out = c->used.tokens_out;
+	r.tokens_in = c->usage.tokens_in;
+	r.tokens_cached = c->usage.tokens_cached;
+	r.tokens_out = c->usage.tokens_out;
 	r.first_us = (uint64_t)c->first_us;
 	r.reason = c->reason;
 	r.key_outcome = c->key_outcome;
@@ -155,45 +155,46 @@
 }
 
 /*
- * A caller that is told "not run" asks again under another key, or elsewhere.
- * So it must be true of the key, whatever was asked with it before: only the
- * owner can say so, and only of a key that is newer than its ledger.
+ * A caller that gets "not run" retries under another key or at another service.
+ * So no earlier request with the key may have run, either.  Only the owner of
+ * the partition can tell, and only for a key that its ledger covers.
  */
 static Mh__Outcome
 key_outcome(const struct call *c)
 {
-	if (!mh_claim_knows(c->s->k, c->partition))
+	if (!mh_claim_exclusive(c->s->k, c->partition))
 		return MH__OUTCOME__UNKNOWN;
-	return mh_ledger_known(c->s->ledger, c->partition, c->once);
+	return mh_ledger_outcome(c->s->ledger, c->partition, c->once_key);
 }
 
-/* The result stays until acknowledged, so a new link can ask for it. */
+/* The result is kept until acknowledged, so a new link can request it. */
 static void
 end_call(struct call *c, Mh__Outcome outcome, enum mh_refusal why)
 {
 	c->state = ST_ENDED;
 	c->outcome = outcome;
 	c->reason = why;
-	if (c->never && outcome == MH__OUTCOME__NOT_RUN)
+	if (c->at_most_once && outcome == MH__OUTCOME__NOT_RUN)
 		c->key_outcome = key_outcome(c);
 	send_result(c);
 }
 
 static void
-undo_once(struct call *c)
+record_refusal(struct call *c)
 {
 	struct side *s = c->s;
 
-	/* Only a call that entered its row may take it out again. */
+	/* Only the call that added the ledger row may remove it. */
 	if (c->state == ST_QUEUED || c->state == ST_RUNNING)
-		mh_ledger_undo(s->ledger, c->once);
-	mh_ledger_refuse(
-	    s->ledger, c->once, c->key.request, mh_wall(s->k) / MH_US_PER_MS);
+		mh_ledger_undo(s->ledger, c->once_key);
+	mh_ledger_refuse(s->ledger, c->once_key, c->key.request,
+	    mh_wall(s->k) / MH_US_PER_MS);
 }
 
 /*
- * It never started here and, under this request, never will: a copy that is
- * still on its way must find the mark, whoever owns the partition by then.
+ * The call has not started here.  For an at-most-once call the refusal is
+ * recorded, so that a copy of the same request that is still in transit does
+ * not run here either, even if this process owns the partition by then.
  */
 void
 call_refuse(struct call *c, enum mh_refusal why, int64_t retry_us)
@@ -201,8 +202,8 @@
 	struct side *s = c->s;
 	char name[48];
 
-	if (c->never)
-		undo_once(c);
+	if (c->at_most_once)
+		record_refusal(c);
 	c->retry_us = retry_us;
 	snprintf(name, sizeof(name), "side_refused_%s", refusal_names[why]);
 	mh_count(s->k, name, 1);
@@ -219,31 +220,32 @@
 	c->run = mh_next_id(s->k);
 	c->run_at_us = mh_now(s->k);
 	s->running++;
-	if (c->never)
+	if (c->at_most_once)
 		mh_claim_busy(s->k, c->partition, 1);
 	g_hash_table_insert(s->runs, &c->run, c);
 	m->u.run.run = c->run;
 	m->u.run.kind = c->kind;
 	m->u.run.path = g_strdup(c->path);
-	m->u.run.key = g_strdup(c->once);
+	m->u.run.key = g_strdup(c->once_key);
 	m->u.run.org = g_strdup(c->org);
 	m->u.run.priority = c->item.priority;
 	m->u.run.stream = c->stream;
 	m->u.run.timeout_us =
-	    MAX(c->item.deadline_us - mh_now(s->k), RUN_MIN_US);
+	    MAX(c->item.deadline_us - mh_now(s->k), RUN_TIMEOUT_MIN_US);
 	m->u.run.body = g_bytes_ref(c->body);
 	mh_count(s->k, "side_runs", 1);
 	mh_post(s->k, "endpoint", m);
 }
 
 /*
- * In an overload the earliest deadlines are those that can no longer be
- * met.  Started all the same, each takes a slot from one that could still
- * be on time, which then is late in its turn.  Refused as soon as it is
- * clear, the caller also hears it sooner.
+ * Under overload, the calls with the earliest deadlines are those that can no
+ * longer meet them.  Starting them would take slots from calls that still can,
+ * which would then miss their deadlines as well.  So they are refused as soon
+ * as the predicted time exceeds the remaining time, which also gives their
+ * callers an earlier response.
  */
 static double
-late_factor(const struct side *s)
+infeasible_factor(const struct side *s)
 {
 	struct mh_decl *d = mh_conf_get(s->k);
 
@@ -252,11 +254,11 @@
 	return MIN(s->factor, 1.0);
 }
 
-/* Endpoints end under its request. */
+/* Refuses a call whose request is quarantined; false if it is not. */
 static bool
-refused_held(struct side *s, struct call *c)
+refuse_if_quarantined(struct side *s, struct call *c)
 {
-	int64_t us = mh_poison_held_us(s->k, c->print);
+	int64_t us = mh_poison_held_us(s->k, c->fingerprint);
 
 	if (us > 0)
 		call_refuse(c, WHY_HELD, us);
@@ -264,7 +266,7 @@
 }
 
 void
-mh_side_held(struct mh_kern *k, uint64_t print)
+mh_side_held(struct mh_kern *k, uint64_t fingerprint)
 {
 	struct side *s = mh_kern_get(k, "side");
 	GList *all = g_hash_table_get_values(s->calls);
@@ -272,10 +274,10 @@
 	for (GList *l = all; l != NULL; l = l->next) {
 		struct call *c = l->data;
 
-		if (c->state != ST_QUEUED || c->print != print)
+		if (c->state != ST_QUEUED || c->fingerprint != fingerprint)
 			continue;
 		mh_queue_remove(s->queue, &c->item);
-		(void)refused_held(s, c);
+		(void)refuse_if_quarantined(s, c);
 	}
 	g_list_free(all);
 	side_pump(s);
@@ -287,7 +289,7 @@
 	struct mh_item *it;
 
 	while ((it = mh_queue_pop_infeasible(
-		    s->queue, mh_now(s->k), late_factor(s))) != NULL)
+		    s->queue, mh_now(s->k), infeasible_factor(s))) != NULL)
 		call_refuse(it->call, WHY_LATE, 0);
 	while (s->running < s->a.slots) {
 		bool urgent_only = s->running >= s->a.slots - urgent_slots(s);
@@ -298,33 +300,35 @@
 			return;
 		c = it->call;
 		/*
-		 * Ownership may have moved while the call waited: a stale
-		 * start here would be a second run elsewhere.
+		 * The partition may have changed its owner while the call
+		 * was queued: the new owner may run the same key.
 		 */
-		if (c->never && !mh_claim_owns(s->k, c->partition, c->epoch)) {
+		if (c->at_most_once &&
+		    !mh_claim_owns(s->k, c->partition, c->epoch)) {
 			call_refuse(c, WHY_NOT_OWNER, 0);
 			continue;
 		}
-		if (refused_held(s, c))
+		if (refuse_if_quarantined(s, c))
 			continue;
 		start(c);
 	}
 }
 
 /*
- * Refused at once when it could not end in time: the entry still has time
- * to ask another endpoint, and the slots serve what can be on time.
+ * True if the call cannot finish before its deadline.  An early refusal leaves
+ * the entry time to try another endpoint and the slots to calls that can meet
+ * their deadlines.
  */
 static bool
-too_late(struct side *s, struct call *c, int64_t *wait)
+misses_deadline(struct side *s, struct call *c, int64_t *wait)
 {
 	struct mh_decl *d = mh_conf_get(s->k);
-	int64_t left = c->item.deadline_us - mh_now(s->k);
+	int64_t remaining_us = c->item.deadline_us - mh_now(s->k);
 
 	*wait = expected_wait(s, c->item.priority);
 	if (d == NULL || d->policy.admission == MH_ADMIT_ALL)
 		return false;
-	return *wait > 0 && *wait + c->item.predicted_us > left;
+	return *wait > 0 && *wait + c->item.predicted_us > remaining_us;
 }
 
 void
@@ -334,9 +338,9 @@
 	int64_t wait;
 
 	c->state = ST_QUEUED;
-	if (refused_held(s, c))
+	if (refuse_if_quarantined(s, c))
 		return;
-	if (too_late(s, c, &wait)) {
+	if (misses_deadline(s, c, &wait)) {
 		call_refuse(c, WHY_LATE, wait);
 		return;
 	}
@@ -347,9 +351,10 @@
 }
 
 static void
-stored_answer(struct call *c)
+send_stored_result(struct call *c)
 {
-	const struct mh_ledger_row *r = mh_ledger_find(c->s->ledger, c->once);
+	const struct mh_ledger_row *r =
+	    mh_ledger_find(c->s->ledger, c->once_key);
 
 	c->status = r->status;
 	c->result = r->body == NULL ? NULL : g_bytes_ref(r->body);
@@ -358,11 +363,11 @@
 }
 
 void
-call_decide_once(struct side *s, struct call *c)
+call_admit_once(struct side *s, struct call *c)
 {
 	struct mh_decl *d = mh_conf_get(s->k);
 	struct mh_ledger_ask a = { .partition = c->partition,
-		.key = c->once,
+		.key = c->once_key,
 		.request = c->key.request,
 		.now_ms = mh_wall(s->k) / MH_US_PER_MS };
 	gsize len;
@@ -383,9 +388,9 @@
 		c->state = ST_ATTACHED;
 		break;
 	case MH_LEDGER_DONE:
-		stored_answer(c);
+		send_stored_result(c);
 		break;
-	case MH_LEDGER_MARKED:
+	case MH_LEDGER_REFUSED:
 		call_refuse(c, WHY_MARKED, 0);
 		break;
 	case MH_LEDGER_REVOKED:
@@ -413,12 +418,12 @@
 	c->s = s;
 	c->conn = conn;
 	c->kind = m->kind;
-	c->never = m->never;
+	c->at_most_once = m->never;
 	c->stream = m->stream;
-	c->once = g_strdup(m->key);
+	c->once_key = g_strdup(m->key);
 	c->partition = m->partition;
 	c->epoch = m->epoch;
-	c->print = m->print;
+	c->fingerprint = m->print;
 	c->path = g_strdup(m->path);
 	c->org = g_strdup(m->org);
 	c->body = g_bytes_new(m->body.data, m->body.len);
@@ -440,7 +445,7 @@
 call_resend(struct call *c, uint64_t conn, guint from)
 {
 	c->conn = conn;
-	c->orphan_us = 0;
+	c->orphan_since_us = 0;
 	for (guint i = from; i < c->chunks->len; i++)
 		send_chunk(c, i);
 	if (c->state == ST_ENDED)
@@ -448,7 +453,7 @@
 }
 
 static void
-tell_abort(struct call *c)
+post_abort(struct call *c)
 {
 	struct mh_msg *m = mh_msg_new(MH_MSG_RUN_ABORT);
 
@@ -461,14 +466,14 @@
 {
 	struct side *s = c->s;
 
-	tell_abort(c);
+	post_abort(c);
 	g_hash_table_remove(s->runs, &c->run);
 	s->running--;
 }
 
 /*
- * What nobody waits for any more.  A non-repeatable call that runs is never
- * aborted: its end must reach the ledger.
+ * Drops a call whose result is no longer wanted.  A running at-most-once call
+ * is not aborted: its outcome must reach the ledger.
  */
 void
 call_cancel(struct call *c)
@@ -479,12 +484,12 @@
 	switch (c->state) {
 	case ST_QUEUED:
 		mh_queue_remove(s->queue, &c->item);
-		if (c->never)
-			undo_once(c);
+		if (c->at_most_once)
+			record_refusal(c);
 		call_drop(c);
 		break;
 	case ST_RUNNING:
-		if (c->never)
+		if (c->at_most_once)
 			return;
 		abort_run(c);
 		call_drop(c);
@@ -509,7 +514,7 @@
 		struct call *c = v;
 
 		if (c->state != ST_ATTACHED ||
-		    strcmp(c->once, first->once) != 0)
+		    strcmp(c->once_key, first->once_key) != 0)
 			continue;
 		c->status = first->status;
 		c->result =
@@ -518,31 +523,32 @@
 	}
 }
 
-/* A peer closes the link at a longer frame, each time that it is sent. */
+/* A peer closes the link whenever it receives a longer frame. */
 static bool
-can_be_told(const struct mh_run_msg *m)
+fits_in_frame(const struct mh_run_msg *m)
 {
-	return m->body == NULL || g_bytes_get_size(m->body) <= MAX_RESULT;
+	return m->body == NULL || g_bytes_get_size(m->body) <= MAX_RESULT_BYTES;
 }
 
 static Mh__Outcome
 outcome_of(const struct call *c, const struct mh_run_msg *m)
 {
-	bool whole = m->whole && can_be_told(m);
+	bool whole = m->whole && fits_in_frame(m);
 
 	if (!m->sent)
-		return c->never ? MH__OUTCOME__NOT_RUN : MH__OUTCOME__FAILED;
+		return c->at_most_once ? MH__OUTCOME__NOT_RUN
+				       : MH__OUTCOME__FAILED;
 	if (whole && m->status >= 200 && m->status < 300)
 		return MH__OUTCOME__DONE;
 	if (whole && c->kind == MH_SERVICE && m->status >= 400 &&
 	    m->status < 500)
 		return MH__OUTCOME__DONE;
-	/* Cut or failed after it was sent: it may have run. */
-	return c->never ? MH__OUTCOME__UNKNOWN : MH__OUTCOME__FAILED;
+	/* Aborted or failed after it was sent: it may have run. */
+	return c->at_most_once ? MH__OUTCOME__UNKNOWN : MH__OUTCOME__FAILED;
 }
 
 static void
-learn_factor(struct side *s, const struct call *c)
+update_factor(struct side *s, const struct call *c)
 {
 	double f;
 
@@ -554,39 +560,41 @@
 }
 
 void
-side_name_endpoint(struct side *s)
+side_set_endpoint_id(struct side *s)
 {
-	g_free(s->endpoint);
-	s->endpoint = g_strdup_printf(
-	    "%s@%" PRIx64 "/%u", s->a.vm, s->a.incarnation, s->ends);
+	g_free(s->endpoint_id);
+	s->endpoint_id = g_strdup_printf(
+	    "%s@%" PRIx64 "/%u", s->a.vm, s->a.incarnation, s->crashes);
 }
 
-/* What the end of a run says of its request. */
+/* Reports the end of a run to the poison request detection. */
 static void
-note_request(struct side *s, const struct call *c, const struct mh_run_msg *m)
+report_to_poison(
+    struct side *s, const struct call *c, const struct mh_run_msg *m)
 {
-	struct mh_poison_end e = { s->endpoint, s->pool, c->print, c->run_at_us,
+	struct mh_poison_end e = { s->endpoint_id, s->pool, c->fingerprint,
+		c->run_at_us,
 		c->first_us > 0 &&
 		    c->endpoint_us - c->first_us > MH_POISON_FRESH_US };
 
 	if (m->broke) {
-		if (s->broke_us == 0)
-			s->broke_us = mh_now(s->k);
+		if (s->broken_since_us == 0)
+			s->broken_since_us = mh_now(s->k);
 		mh_poison_broke(s->k, &e);
 		return;
 	}
 	if (!m->whole)
 		return;
-	mh_poison_ran(s->k, c->print, s->pool);
-	if (s->broke_us == 0)
+	mh_poison_ran(s->k, c->fingerprint, s->pool);
+	if (s->broken_since_us == 0)
 		return;
-	mh_poison_answered(s->k, s->endpoint, c->run_at_us, false);
-	if (c->run_at_us < s->broke_us)
+	mh_poison_answered(s->k, s->endpoint_id, c->run_at_us, false);
+	if (c->run_at_us < s->broken_since_us)
 		return;
-	/* It runs again, or still: its next end is another. */
-	s->broke_us = 0;
-	s->ends++;
-	side_name_endpoint(s);
+	/* The endpoint is up: the next broken call means another crash. */
+	s->broken_since_us = 0;
+	s->crashes++;
+	side_set_endpoint_id(s);
 }
 
 void
@@ -603,21 +611,21 @@
 	c->endpoint_us = mh_now(s->k) - c->run_at_us;
 	c->outcome = outcome_of(c, m);
 	c->status = m->status;
-	c->used.tokens_in = m->tokens_in;
-	c->used.tokens_cached = m->tokens_cached;
-	c->used.tokens_out = m->tokens_out;
+	c->usage.tokens_in = m->tokens_in;
+	c->usage.tokens_cached = m->tokens_cached;
+	c->usage.tokens_out = m->tokens_out;
 	c->result =
-	    m->body == NULL || !can_be_told(m) ? NULL : g_bytes_ref(m->body);
-	learn_factor(s, c);
-	note_request(s, c, m);
+	    m->body == NULL || !fits_in_frame(m) ? NULL : g_bytes_ref(m->body);
+	update_factor(s, c);
+	report_to_poison(s, c, m);
 	mh_count(s->k, "side_endpoint_us", (uint64_t)c->endpoint_us);
-	if (c->never) {
+	if (c->at_most_once) {
 		mh_claim_busy(s->k, c->partition, -1);
 		if (c->outcome == MH__OUTCOME__NOT_RUN)
-			undo_once(c);
+			record_refusal(c);
 		else
-			mh_ledger_end(s->ledger, c->once, c->outcome, c->status,
-			    c->result);
+			mh_ledger_end(s->ledger, c->once_key, c->outcome,
+			    c->status, c->result);
 		end_attached(s, c);
 	}
 	end_call(c, c->outcome, WHY_NONE);
@@ -625,7 +633,7 @@
 }
 
 void
-side_cut(struct side *s)
+side_abort_runs(struct side *s)
 {
 	GList *all = g_hash_table_get_values(s->runs);
 
@@ -634,7 +642,7 @@
 		struct mh_run_msg cut = { .run = c->run, .sent = true };
 
 		mh_count(s->k, "side_cuts", 1);
-		tell_abort(c);
+		post_abort(c);
 		side_run_ended(s, &cut);
 	}
 	g_list_free(all);
--- a/lib/table.h
+++ b/lib/table.h
@@ -2,9 +2,10 @@
 #define TABLE_H
 
 /*
- * Short forms for the tables of mh_yaml_read(): a field named as its member
- * (F) or otherwise (FN), one of some words (FENUM), mappings with a table of
- * their own (FTAB).
+ * Initialisers for the tables of mh_yaml_read().  F: a field with the name of
+ * its struct member.  FN: a field with another name.  FENUM: a field whose
+ * value is one of a list of words.  FTAB: a mapping, or list of mappings, with
+ * a table of its own.  FEND: end of the table.  TABLE: the struct mh_table.
  */
 
 #define F(st, fld, typ, req, lo, hi)                                           \
--- a/regress/t_decl.c
+++ b/regress/t_decl.c
@@ -1,6 +1,6 @@
 /**
- * DOC: Declarations and rules: each kind of bad input has its error, and
- * nothing of a bad document is taken.
+ * DOC: Declarations and rules: each kind of invalid input has its error
+ * message, and an invalid document is rejected as a whole.
  */
 
 #include "net.h"
@@ -18,13 +18,13 @@
 	return d;
 }
 
-struct bad {
-	const char *from; /* replaced in the good document */
+struct invalid_case {
+	const char *from; /* replaced in the valid document */
 	const char *to;
-	const char *says; /* must stand in the error */
+	const char *message; /* part of the expected error message */
 };
 
-static const struct bad bads[] = {
+static const struct invalid_case invalid_cases[] = {
 	{ "classes:", "clases:", "line 2: field \"clases\": is not known" },
 	{ "priority: 0", "priority: 9", "whole number from 0 to 3" },
 	{ "priority: 0", "priority: 0.5", "whole number" },
@@ -70,16 +70,19 @@
 static void
 test_bad_documents(void)
 {
-	for (size_t i = 0; i < G_N_ELEMENTS(bads); i++) {
-		char *text = replaced(bads[i].from, bads[i].to);
+	for (size_t i = 0; i < G_N_ELEMENTS(invalid_cases); i++) {
+		char *text =
+		    replaced(invalid_cases[i].from, invalid_cases[i].to);
 		GError *err = NULL;
 		struct mh_decl *d = read_text(text, &err);
 
 		CU_ASSERT_PTR_NULL(d);
-		if (err == NULL || strstr(err->message, bads[i].says) == NULL) {
-			CU_FAIL("the error does not say it");
+		if (err == NULL ||
+		    strstr(err->message, invalid_cases[i].message) == NULL) {
+			CU_FAIL("unexpected error message");
 			printf("\n  %zu: %s\n  wanted: %s\n", i,
-			    err == NULL ? "none" : err->message, bads[i].says);
+			    err == NULL ? "none" : err->message,
+			    invalid_cases[i].message);
 		} else {
 			CU_ASSERT_EQUAL(err->code, MH_ERR_DECL);
 			CU_ASSERT_PTR_NOT_NULL(strstr(err->message, "line "));
@@ -91,8 +94,8 @@
 }
 
 /*
- * A document whose alias holds itself came in.  The reader recursed until
- * the stack ended and the daemon died on an operator's typing error.
+ * Guards against a document with an alias that contains itself: reading it
+ * recursively would overflow the stack and crash the daemon.
  */
 static void
 test_alias_in_itself(void)
@@ -109,7 +112,7 @@
 }
 
 static void
-test_first_match_decides(void)
+test_first_matching_rule_applies(void)
 {
 	GError *err = NULL;
 	struct mh_decl *d = read_text(net_doc, &err);
@@ -177,7 +180,7 @@
 const struct test tests_decl[] = {
 	{ "bad_documents", test_bad_documents },
 	{ "alias_in_itself", test_alias_in_itself },
-	{ "first_match_decides", test_first_match_decides },
+	{ "first_matching_rule_applies", test_first_matching_rule_applies },
 	{ "time_of_day_over_midnight", test_time_of_day_over_midnight },
 	{ "keys", test_keys },
 	{ NULL, NULL },
--- a/regress/t_once.c
+++ b/regress/t_once.c
@@ -1,6 +1,6 @@
 /**
- * DOC: At most once, through kills, restarts, hand-overs, outages of the KV
- * service, pauses, silent links and frames doubled or late.
+ * DOC: At-most-once execution during crashes, restarts, handovers, outages of
+ * the KV service, pauses, silent links, and duplicate or delayed frames.
  */
 
 #include "net.h"
@@ -8,9 +8,9 @@
 
 #include <string.h>
 
-#define GRACE_US (30 * MH_US_PER_S) /* the default */
+#define GRACE_US (30 * MH_US_PER_S) /* the default, MH_GRACE_S */
 
-#define MAX_ASKS 400
+#define MAX_REQUESTS 400
 
 struct once_world {
 	struct net *n;
@@ -82,8 +82,8 @@
 }
 
 /*
- * Two parents' pages press "confirm" with one key at two entries at the
- * same moment.  One performer may come, and both pages must be told so.
+ * Two clients send the same key to two entries at the same time.  The call must
+ * run once, and both clients must get its result.
  */
 static void
 test_one_key_at_two_entries(void)
@@ -102,12 +102,13 @@
 }
 
 /*
- * The side process dies after the service confirmed and before the answer
- * left.  The parent is told "unknown", never "not run"; the new process
- * knows that it cannot know, and a repeat does not run.
+ * The side process crashes after the service ran the call and before the result
+ * was sent.  The caller must get "unknown", not "not run".  The restarted
+ * process has lost the row: it must report "unknown" for a retry and not run
+ * it.
  */
 static void
-test_death_after_the_run(void)
+test_crash_after_run(void)
 {
 	struct once_world w;
 	struct net_node *owner;
@@ -135,10 +136,10 @@
 }
 
 /*
- * A page confirms with a key that tells no time; it runs.  The side process
- * restarts and forgets.  The page, which saw no answer, sends the key again:
- * claimed in the KV service as if it were new, it ran a second time.  Until
- * the new ledger covers the retention time such a key is "unknown".
+ * A call with an opaque key, which has no timestamp, runs.  Then the side
+ * process restarts with an empty ledger and the client retries the key.  Guards
+ * against a second run of the key as if it were new: until the new ledger
+ * covers the retention time, the outcome of such a key must be "unknown".
  */
 static void
 test_opaque_key_after_restart(void)
@@ -168,8 +169,8 @@
 }
 
 /*
- * A drain hands the ledger over: the repeat of a confirmed key at the new
- * owner gets the stored answer, and nothing is refused for long.
+ * A drain hands over the ledger: a retry of a completed key must get the stored
+ * result from the new owner, soon after the drain.
  */
 static void
 test_drain_hands_the_ledger_over(void)
@@ -198,9 +199,9 @@
 }
 
 /*
- * Eight confirmations with long answers in one partition: the hand-over was
- * one frame of 6 MB, which the new owner refused, again and again.  The
- * drain never ended and the VM was cut with its ledger.
+ * One partition has eight results of 800 kB.  Guards against a handover frame
+ * of 6 MB, which the new owner refuses again and again, so that the drain does
+ * not finish and the VM is killed with its ledger.
  */
 static void
 test_large_ledger_is_handed_over(void)
@@ -242,9 +243,9 @@
 	net_destroy(w.n);
 }
 
-/* Guards against a link that one answer breaks again and again. */
+/* A result too long for a frame must not break the link again and again. */
 static void
-test_answer_longer_than_a_frame(void)
+test_result_longer_than_a_frame(void)
 {
 	static const size_t over[] = { 0, 64 };
 
@@ -271,9 +272,9 @@
 	}
 }
 
-/* A VM that the list dropped is taken over; new keys run there, old don't. */
+/* Takeover from a VM removed from the list: new keys run, old ones do not. */
 static void
-test_takeover_of_a_gone_vm(void)
+test_takeover_from_a_removed_vm(void)
 {
 	struct once_world w;
 	struct net_node *owner;
@@ -309,9 +310,9 @@
 }
 
 /*
- * The owner is paused with its VM still listed.  A lease would lapse and
- * another would take over, while the paused one still believes it owns and
- * runs what it had checked.  Nothing is taken over.
+ * The owner is paused and its VM is still listed.  Guards against a takeover,
+ * as would follow from an expired lease: the paused owner could still run a
+ * call whose ownership it had checked before.
  */
 static void
 test_paused_owner_keeps_its_partitions(void)
@@ -334,12 +335,13 @@
 }
 
 /*
- * The reclaim's write took effect but its answer was lost.  Taken for a
- * failure, the process would write again over its own epoch, or serve
- * nothing for ever; read back, it owns.
+ * The write that reclaims partitions takes effect and its response is lost.  If
+ * the process took this for a failure, it would overwrite its own epoch or
+ * never serve its partitions.  It must read the table and find that it is the
+ * owner.
  */
 static void
-test_lost_answer_of_a_claim(void)
+test_lost_response_of_a_claim(void)
 {
 	struct once_world w;
 
@@ -354,10 +356,9 @@
 }
 
 /*
- * The KV service is out for minutes and a new VM joins.  Owners began to
- * hand partitions to it, which the outage kept them from ending: those keys
- * were refused until the service came back.  What is owned goes on being
- * served.
+ * A VM joins during an outage of the KV service of several minutes.  Guards
+ * against owners that start a handover to it, which cannot finish during the
+ * outage, and refuse the keys of those partitions until the service is back.
  */
 static void
 test_outage_stops_nothing(void)
@@ -382,7 +383,7 @@
 	net_destroy(w.n);
 }
 
-/* A revoke before the run: the key never runs; after it: the answer. */
+/* A revoked key must not run; one that ran has the outcome "done". */
 static void
 test_revoke(void)
 {
@@ -412,8 +413,8 @@
 }
 
 /*
- * One key with two orders: the second page was answered only at its
- * deadline, though the owner had refused it in a millisecond.
+ * One key is used for two bodies.  Guards against a second caller that gets its
+ * response only at its deadline, though the owner refuses the call in 1 ms.
  */
 static void
 test_key_with_another_body(void)
@@ -439,16 +440,17 @@
 }
 
 /*
- * Twelve parents' confirmations are answered.  One of three side processes is
- * killed and not replaced; the pages send their keys once more.  Five were told
- * "not run" though each had run: those parents book elsewhere and pay twice.
- * Nobody can know of these keys, which is said, and at once.
+ * Twelve keys have run; then one of three side processes crashes, stays listed
+ * and is not replaced, and the clients retry their keys.  Guards against "not
+ * run" for keys that did run (5 of the 12), which would let clients order a
+ * second time elsewhere.  As no process has the outcome of those keys, the
+ * response must be "unknown", and without delay.
  */
 static void
-test_owner_dead_and_listed(void)
+test_owner_crashed_and_listed(void)
 {
 	struct once_world w;
-	struct net_node *dead;
+	struct net_node *crashed;
 	int unknown = 0;
 
 	make(&w, 17);
@@ -461,8 +463,8 @@
 		net_run(w.n, 200 * MH_US_PER_MS);
 		CU_ASSERT_EQUAL(net_answer(w.n, a)->status, 200);
 	}
-	dead = owner_of(&w, "party-0");
-	net_kill(dead);
+	crashed = owner_of(&w, "party-0");
+	net_kill(crashed);
 	net_run(w.n, 3 * MH_US_PER_S);
 	for (int i = 0; i < 24; i++) {
 		char key[24];
@@ -493,8 +495,8 @@
 }
 
 /*
- * Asked what became of a key whose owner is dead, an entry said "not run" in
- * the problem that told that nobody answers.
+ * A lookup of a key whose owner does not respond must return "unknown".  Guards
+ * against "not run" in the error response for the unreachable owner.
  */
 static void
 test_lookup_without_owner(void)
@@ -521,10 +523,10 @@
 }
 
 /*
- * An overloaded pool, a quota or a body that can't be read refuses a repeat
- * of a key that has run: only its request is known not to run.  A key that
- * the owner has never seen is "not run", and so is one on a pipeline that
- * takes no keys.
+ * A retry of a key that has run is refused because of its deadline or a
+ * malformed body.  Only the retry is known not to have run, so its response
+ * must be "unknown".  The response for a key that the owner has never seen must
+ * be "not run", and so must that of a pipeline that takes no keys.
  */
 static void
 test_refusals_of_a_key(void)
@@ -565,7 +567,7 @@
 	net_destroy(w.n);
 }
 
-struct cut_case {
+struct response_case {
 	const char *name;
 	uint32_t status;
 	bool unsent;
@@ -575,8 +577,8 @@
 	uint32_t runs;
 };
 
-/* How an endpoint's end of a non-repeatable call becomes an outcome. */
-static const struct cut_case cuts[] = {
+/* Outcome of an at-most-once call, by the response of the endpoint. */
+static const struct response_case response_cases[] = {
 	{ "good", 0, false, false, 200, "done", 1 },
 	{ "refused", 409, false, false, 409, "done", 1 },
 	{ "server error", 500, false, false, 504, "unknown", 1 },
@@ -585,42 +587,45 @@
 };
 
 static void
-test_endpoint_ends(void)
+test_outcome_by_response(void)
 {
-	for (size_t i = 0; i < G_N_ELEMENTS(cuts); i++) {
+	for (size_t i = 0; i < G_N_ELEMENTS(response_cases); i++) {
 		struct once_world w;
 		uint64_t a;
 
 		make(&w, 10);
 		for (int j = 0; j < 3; j++) {
-			w.s[j]->status = cuts[i].status;
-			w.s[j]->unsent = cuts[i].unsent;
-			w.s[j]->cut = cuts[i].cut;
+			w.s[j]->status = response_cases[i].status;
+			w.s[j]->unsent = response_cases[i].unsent;
+			w.s[j]->cut = response_cases[i].cut;
 		}
 		a = confirm(w.e[0], "k7");
 		net_run(w.n, 3 * MH_US_PER_S);
-		CU_ASSERT_EQUAL(net_answer(w.n, a)->status, cuts[i].answer);
-		CU_ASSERT_STRING_EQUAL(
-		    net_answer_text(w.n, a, "outcome"), cuts[i].outcome);
-		CU_ASSERT_EQUAL(net_runs(w.n, "acme/k7"), cuts[i].runs);
+		CU_ASSERT_EQUAL(
+		    net_answer(w.n, a)->status, response_cases[i].answer);
+		CU_ASSERT_STRING_EQUAL(net_answer_text(w.n, a, "outcome"),
+		    response_cases[i].outcome);
+		CU_ASSERT_EQUAL(
+		    net_runs(w.n, "acme/k7"), response_cases[i].runs);
 		net_destroy(w.n);
 	}
 }
 
 /*
- * While a partition is handed over, two pages send one key a moment apart.
- * The old owner, its rows already sent, ran the first; the new owner, not
- * knowing, the second.  A moving partition starts nothing.
+ * Two clients send the same key, shortly one after the other, during a
+ * handover.  Guards against two runs: one at the old owner, which has already
+ * sent its rows, and one at the new owner, which lacks the row.  No call may
+ * start in a partition that is being handed over.
  */
 static void
-test_one_key_across_a_hand_over(void)
+test_one_key_during_a_handover(void)
 {
 	for (uint32_t seed = 1; seed <= 30; seed++) {
 		struct once_world w;
 		struct net_node *x;
 
 		make(&w, seed);
-		w.n->kv_us = 100 * MH_US_PER_MS; /* a long hand-over */
+		w.n->kv_us = 100 * MH_US_PER_MS; /* for a long handover */
 		x = net_side(w.n, "book4", "book", "a", 4);
 		net_run(w.n, 2 * MH_US_PER_S);
 		for (int i = 0; i < 100; i++) {
@@ -645,16 +650,16 @@
 	}
 }
 
-/* ---- random failures, the promises checked from outside ---- */
+/* ---- random failures; the guarantees are checked from outside ---- */
 
-struct ask_row {
+struct request_row {
 	uint64_t caller;
 	char key[48];
-	bool again; /* the key was asked more than once */
+	bool retried; /* the key was sent more than once */
 };
 
 static void
-hurt(struct once_world *w)
+inject_failure(struct once_world *w)
 {
 	struct net *n = w->n;
 	struct net_node *x = w->s[mh_random(n->k) % 3];
@@ -695,7 +700,7 @@
 }
 
 static void
-check_promises(struct net *n, struct ask_row *rows, int count)
+check_guarantees(struct net *n, struct request_row *rows, int count)
 {
 	CU_ASSERT(net_most_runs(n) <= 1);
 	for (int i = 0; i < count; i++) {
@@ -707,11 +712,11 @@
 		CU_ASSERT_TRUE(a->ended);
 		if (a->status == 200)
 			CU_ASSERT_EQUAL(net_runs(n, full), 1);
-		/* Whatever was asked with the key before: it had not run. */
+		/* No request with the key had run before the response. */
 		if (strcmp(outcome, "not-run") == 0)
 			CU_ASSERT_EQUAL(a->runs, 0);
-		/* A key asked again may run for the later request. */
-		if (strcmp(outcome, "not-run") == 0 && !rows[i].again)
+		/* A retried key may run for the later request. */
+		if (strcmp(outcome, "not-run") == 0 && !rows[i].retried)
 			CU_ASSERT_EQUAL(net_runs(n, full), 0);
 		g_free(full);
 	}
@@ -721,14 +726,14 @@
 run_random(uint32_t seed)
 {
 	struct once_world w;
-	struct ask_row rows[MAX_ASKS];
+	struct request_row rows[MAX_REQUESTS];
 	int count = 0;
 
 	make(&w, seed);
 	w.n->duplicate = 0.1;
 	w.n->delay = 0.1;
-	while (count < MAX_ASKS) {
-		struct ask_row *r = &rows[count];
+	while (count < MAX_REQUESTS) {
+		struct request_row *r = &rows[count];
 		char *key = key_now(w.n);
 
 		if (count % 4 == 0)
@@ -736,7 +741,7 @@
 			    r->key, sizeof(r->key), "op-%u-%d", seed, count);
 		else
 			g_strlcpy(r->key, key, sizeof(r->key));
-		r->again = false;
+		r->retried = false;
 		r->caller = confirm(w.e[count % 2], r->key);
 		count++;
 		g_free(key);
@@ -744,20 +749,21 @@
 		    20 * MH_US_PER_MS + (int64_t)(mh_random(w.n->k) % 50000));
 		if (count % 3 == 0) {
 			r = &rows[mh_random(w.n->k) % (uint64_t)count];
-			r->again = true;
+			r->retried = true;
 			confirm(w.e[mh_random(w.n->k) % 2], r->key);
 		}
 		if (count % 8 == 0)
-			hurt(&w);
+			inject_failure(&w);
 	}
 	net_run(w.n, 10 * MH_US_PER_S);
-	check_promises(w.n, rows, count);
+	check_guarantees(w.n, rows, count);
 	net_destroy(w.n);
 }
 
 /*
- * Whatever happens, together and in any order: no key runs twice, "not run"
- * did not run, "done" ran, and everybody is answered.
+ * With random failures in random order, no key may run twice, a key with the
+ * outcome "not run" must not have run, one with status 200 must have run, and
+ * every caller must get a response.
  */
 static void
 test_random_failures(void)
@@ -769,23 +775,23 @@
 const struct test tests_once[] = {
 	{ "every_partition_has_one_owner", test_every_partition_has_one_owner },
 	{ "one_key_at_two_entries", test_one_key_at_two_entries },
-	{ "death_after_the_run", test_death_after_the_run },
+	{ "crash_after_run", test_crash_after_run },
 	{ "opaque_key_after_restart", test_opaque_key_after_restart },
 	{ "drain_hands_the_ledger_over", test_drain_hands_the_ledger_over },
-	{ "answer_longer_than_a_frame", test_answer_longer_than_a_frame },
+	{ "result_longer_than_a_frame", test_result_longer_than_a_frame },
 	{ "large_ledger_is_handed_over", test_large_ledger_is_handed_over },
-	{ "takeover_of_a_gone_vm", test_takeover_of_a_gone_vm },
+	{ "takeover_from_a_removed_vm", test_takeover_from_a_removed_vm },
 	{ "paused_owner_keeps_its_partitions",
 	    test_paused_owner_keeps_its_partitions },
-	{ "lost_answer_of_a_claim", test_lost_answer_of_a_claim },
+	{ "lost_response_of_a_claim", test_lost_response_of_a_claim },
 	{ "outage_stops_nothing", test_outage_stops_nothing },
 	{ "revoke", test_revoke },
 	{ "key_with_another_body", test_key_with_another_body },
-	{ "owner_dead_and_listed", test_owner_dead_and_listed },
+	{ "owner_crashed_and_listed", test_owner_crashed_and_listed },
 	{ "lookup_without_owner", test_lookup_without_owner },
 	{ "refusals_of_a_key", test_refusals_of_a_key },
-	{ "endpoint_ends", test_endpoint_ends },
-	{ "one_key_across_a_hand_over", test_one_key_across_a_hand_over },
+	{ "outcome_by_response", test_outcome_by_response },
+	{ "one_key_during_a_handover", test_one_key_during_a_handover },
 	{ "random_failures", test_random_failures },
 	{ NULL, NULL },
 };
