--- a/lib/claim.c
+++ b/lib/claim.c
@@ -84,7 +84,7 @@
 }
 
 static bool
-is_own(const struct claim *c, const struct mh_part *t)
+is_own(const struct claim *c, const struct mh_partition *t)
 {
 	return t->incarnation == c->inc && strcmp(t->vm, c->vm) == 0;
 }
@@ -221,7 +221,7 @@
 apply_table(struct claim *c)
 {
 	for (uint32_t p = 0; p < MH_PARTITIONS; p++) {
-		const struct mh_part *t = mh_owners_part(c->owners, p);
+		const struct mh_partition *t = mh_owners_part(c->owners, p);
 		struct part_state *s = &c->part[p];
 		bool owned = is_own(c, t);
 
@@ -253,7 +253,7 @@
 static bool
 plan_part(struct claim *c, uint32_t p, struct mh_owners *next)
 {
-	const struct mh_part *t = mh_owners_part(c->owners, p);
+	const struct mh_partition *t = mh_owners_part(c->owners, p);
 	const struct part_state *s = &c->part[p];
 	const struct mh_policy *pol = &mh_conf_get(c->k)->policy;
 	const char *preferred;
@@ -290,7 +290,7 @@
 plan(struct claim *c)
 {
 	struct mh_owners *next = mh_owners_create(c->pool);
-	GBytes *value = mh_owners_print(c->owners);
+	GBytes *value = mh_owners_serialize(c->owners);
 	bool changed = mh_owners_kv_stale(c->owners);
 
 	mh_owners_parse(next, value);
@@ -299,7 +299,7 @@
 		changed |= plan_part(c, p, next);
 	if (changed) {
 		c->fresh = false;
-		kv_call(c, MH_KV_PUT, mh_owners_print(next), &c->put);
+		kv_call(c, MH_KV_PUT, mh_owners_serialize(next), &c->put);
 	}
 	mh_owners_destroy(next);
 }
--- a/lib/conf.c
+++ b/lib/conf.c
@@ -384,7 +384,7 @@
 }
 
 void
-mh_conf_see(struct mh_kern *k, uint64_t conn, uint64_t generation)
+mh_conf_peer_generation(struct mh_kern *k, uint64_t conn, uint64_t generation)
 {
 	struct conf *c = mh_kern_get(k, "conf");
 	struct mh_peer *p = mh_member_conn(k, conn);
--- a/lib/deadline.c
+++ b/lib/deadline.c
@@ -57,7 +57,7 @@
 	r->deadline_timer = NULL;
 	if (entry_cut_by_drain(r))
 		mh_count(r->e->k, "entry_cuts", 1);
-	if (s->never && r->tries[0].call != NULL) {
+	if (s->at_most_once && r->tries[0].call != NULL) {
 		p.status = 504;
 		p.retry_us = 0;
 		p.kind = "outcome-unknown";
--- a/lib/decl.c
+++ b/lib/decl.c
@@ -357,7 +357,7 @@
 	if (pool->kind != s->kind)
 		return fail_at(err, s->line, "kind",
 		    "differs from the pool's kind", "use the pool's kind");
-	if (s->never && s->kind != MH_SERVICE)
+	if (s->at_most_once && s->kind != MH_SERVICE)
 		return fail_at(err, s->line, "repeat",
 		    "\"never\" is for service stages only", "write safe");
 	if (s->kind == MH_SERVICE && s->path == NULL)
@@ -389,7 +389,7 @@
 		for (guint j = 0; j < p->stages->len; j++) {
 			struct raw_stage *r = p->stages->pdata[j];
 
-			r->s.never = r->repeat == 1;
+			r->s.at_most_once = r->repeat == 1;
 			if (!check_stage(d, &r->s, err))
 				return false;
 			generates += r->s.kind == MH_GENERATE;
@@ -397,7 +397,7 @@
 				return fail_at(err, r->s.line, "kind",
 				    "is the pipeline's second generate stage",
 				    "keep one; the text is passed on once");
-			if (r->s.never && j + 1 < p->stages->len)
+			if (r->s.at_most_once && j + 1 < p->stages->len)
 				return fail_at(err, r->s.line, "repeat",
 				    "\"never\" stands before another stage",
 				    "make it the pipeline's last stage");
@@ -469,7 +469,7 @@
 static bool
 index_key(struct mh_decl *d, struct mh_org *o, struct mh_key *key, GError **err)
 {
-	struct mh_key_owner *w;
+	struct mh_key_match *w;
 	size_t len = 0;
 
 	if (sodium_hex2bin(key->hash, sizeof(key->hash), key->hash_hex,
@@ -481,7 +481,7 @@
 	if (g_hash_table_contains(d->by_key, key->hash))
 		return fail_at(err, o->line, "hash",
 		    "belongs to two organisations", "issue another key");
-	w = g_new0(struct mh_key_owner, 1);
+	w = g_new0(struct mh_key_match, 1);
 	w->org = o;
 	w->key = key;
 	g_hash_table_insert(d->by_key, key->hash, w);
@@ -601,7 +601,7 @@
  * The lookup uses the hash of the key and compares whole hashes in constant
  * time, so its duration reveals nothing about a stored key.
  */
-const struct mh_key_owner *
+const struct mh_key_match *
 mh_decl_find_key(const struct mh_decl *d, const char *key)
 {
 	uint8_t hash[MH_HASH_LEN];
--- a/lib/entry.c
+++ b/lib/entry.c
@@ -90,7 +90,7 @@
 		name = m->path + strlen(PREFIX_PIPELINES);
 	if (d != NULL && name != NULL)
 		pl = mh_decl_pipeline(d, name);
-	if (pl != NULL && !pipe_last_stage(pl)->never)
+	if (pl != NULL && !pipe_last_stage(pl)->at_most_once)
 		return; /* only non-repeatable stages use keys */
 	a->given = true;
 	if (pl != NULL)
@@ -262,7 +262,7 @@
 	struct entry *e = arg;
 
 	(void)conn;
-	mh_owners_take(entry_owners(e, f->owners->service), f->owners);
+	mh_owners_merge(entry_owners(e, f->owners->service), f->owners);
 }
 
 bool
@@ -366,7 +366,7 @@
 		    "Send a UUID version 7.");
 		return false;
 	}
-	if (!pipe_last_stage(r->d.pipeline)->never)
+	if (!pipe_last_stage(r->d.pipeline)->at_most_once)
 		return true;
 	r->key = g_strconcat(r->org->name, "/", m->idempotency_key, NULL);
 	r->key_given = true;
@@ -376,7 +376,7 @@
 
 static bool
 reserve_limits(struct entry *e, const struct mh_request_msg *m,
-    const struct mh_key_owner *who, struct request *r)
+    const struct mh_key_match *who, struct request *r)
 {
 	struct problem p = { .status = 429,
 		.kind = "over-limit",
@@ -486,7 +486,7 @@
 
 static bool
 prepare(struct entry *e, const struct mh_request_msg *m,
-    const struct mh_key_owner *who, struct request *r)
+    const struct mh_key_match *who, struct request *r)
 {
 	r->e = e;
 	r->caller = m->id;
@@ -502,7 +502,7 @@
 
 static void
 start_request(struct entry *e, const struct mh_request_msg *m,
-    const struct mh_key_owner *who)
+    const struct mh_key_match *who)
 {
 	struct request *r = g_new0(struct request, 1);
 
@@ -586,7 +586,7 @@
 dispatch(struct entry *e, const struct mh_request_msg *m)
 {
 	struct mh_decl *d = mh_conf_get(e->k);
-	const struct mh_key_owner *who;
+	const struct mh_key_match *who;
 	bool post = strcmp(m->method, "POST") == 0;
 	bool del = strcmp(m->method, "DELETE") == 0;
 
--- a/lib/entry.h
+++ b/lib/entry.h
@@ -149,7 +149,7 @@
 #define PREFIX_OUTCOMES "/v1/outcomes/"
 /** outcome_request() - handles a GET (lookup) or DELETE (@revoke) request. */
 void outcome_request(struct entry *e, const struct mh_request_msg *m,
-    const struct mh_key_owner *who, bool revoke);
+    const struct mh_key_match *who, bool revoke);
 /** outcome_receive() - handles the owner's reply to a lookup. */
 void outcome_receive(void *arg, uint64_t conn, const Mh__Frame *f);
 void outcome_free(void *lookup);
--- a/lib/gate.c
+++ b/lib/gate.c
@@ -224,7 +224,7 @@
 static int64_t
 silence_us(const struct mh_greq *q)
 {
-	int64_t us = (int64_t)((double)q->route->aim_us * SILENCE_SLO_RATIO);
+	int64_t us = (int64_t)((double)q->route->slo_us * SILENCE_SLO_RATIO);
 
 	return q->route->stream ? MAX(us, STREAM_SILENCE_MIN_US) : us;
 }
@@ -563,7 +563,7 @@
 	}
 	if (q->route->stream && may_retry(q))
 		set_silence_timer(
-		    g, q, MAX(GAP_FACTOR * q->route->gap_aim_us, GAP_MIN_US));
+		    g, q, MAX(GAP_FACTOR * q->route->gap_slo_us, GAP_MIN_US));
 }
 
 /*
--- a/lib/gate.h
+++ b/lib/gate.h
@@ -60,16 +60,16 @@
 /** struct mh_groute - a route; unchanged routes are shared by versions. */
 struct mh_groute {
 	int refs;
-	uint64_t print[2]; /* hash of its JSON text; 0: unknown */
+	uint64_t text_hash[2]; /* hash of its JSON text; 0: unknown */
 	char *name;
 	char *host;
 	char *prefix;
 	bool stream;
 	enum mh_repeat repeat;
-	bool open_to_all; /* needs no key */
+	bool allow_anonymous; /* needs no key */
 	int64_t timeout_us;
-	int64_t aim_us; /* latency objective */
-	int64_t gap_aim_us; /* objective of the pauses of a stream */
+	int64_t slo_us; /* latency objective */
+	int64_t gap_slo_us; /* objective of the pauses of a stream */
 	uint32_t priority; /* 0 is the most urgent */
 	uint32_t attempts;
 	GArray *targets; /* struct mh_gtarget */
@@ -80,10 +80,10 @@
 /** struct mh_gwork - batching and cost of a stage pool's endpoints. */
 struct mh_gwork {
 	uint32_t batch; /* most pieces of one call */
-	uint32_t running; /* calls that an endpoint runs at once */
+	uint32_t max_calls; /* calls that an endpoint runs at once */
 	int64_t call_us; /* cost of a call */
 	int64_t item_us; /* cost of a piece */
-	uint64_t room_bytes; /* of an endpoint; 0: unknown */
+	uint64_t result_memory_bytes; /* of an endpoint; 0: unknown */
 };
 
 /** struct mh_gengine - the size of a pool's model engines. */
@@ -126,7 +126,8 @@
 /** mh_gconf_route() - the longest matching prefix of @host, or NULL. */
 struct mh_groute *mh_gconf_route(
     const struct mh_gconf *c, const char *host, const char *target);
-struct mh_groute *mh_gconf_named(const struct mh_gconf *c, const char *name);
+struct mh_groute *mh_gconf_route_by_name(
+    const struct mh_gconf *c, const char *name);
 struct mh_gpool *mh_gconf_pool(const struct mh_gconf *c, const char *name);
 /** mh_groute_pool() - a pool, by weight; @unit in [0, 1), NULL: no pools. */
 const char *mh_groute_pool(const struct mh_groute *r, double unit);
--- a/lib/gateadmit.c
+++ b/lib/gateadmit.c
@@ -28,7 +28,7 @@
 mh_gate_client_timeout_us(const struct mh_groute *r)
 {
 	int64_t us =
-	    MAX(TIMEOUT_SLOS * r->aim_us, TIMEOUT_GAPS * r->gap_aim_us);
+	    MAX(TIMEOUT_SLOS * r->slo_us, TIMEOUT_GAPS * r->gap_slo_us);
 
 	return MAX(us, TIMEOUT_MIN_US) * TIMEOUT_PERCENT / 100;
 }
@@ -40,7 +40,7 @@
 		return true;
 	if (q->key != NULL)
 		q->org = g_hash_table_lookup(g->conf->keys, q->key);
-	return q->org != NULL || (q->route->open_to_all && q->key == NULL);
+	return q->org != NULL || (q->route->allow_anonymous && q->key == NULL);
 }
 
 /*
@@ -68,7 +68,7 @@
 	if (q->returned)
 		q->first_attempt_us -=
 		    (int64_t)(MEAN_DEADLINE_RATIO * (double)*longest) - given;
-	q->slo_by_us = q->first_attempt_us + q->route->aim_us;
+	q->slo_by_us = q->first_attempt_us + q->route->slo_us;
 	q->expires_us = now + MIN(given, q->route->timeout_us);
 	q->answer_by_us = q->expires_us;
 	if (q->route->stream) {
--- a/lib/gatejob.c
+++ b/lib/gatejob.c
@@ -50,7 +50,7 @@
 	    q->last_data_us + mh_gate_client_timeout_us(q->route);
 
 	if (q->head_forwarded) {
-		j->slo_us = mh_now(g->k) + q->route->gap_aim_us;
+		j->slo_us = mh_now(g->k) + q->route->gap_slo_us;
 		j->deadline_us = MIN(q->expires_us, leaves_us) - engine_us;
 	} else {
 		j->slo_us = q->slo_by_us - engine_us;
--- a/lib/gconf.c
+++ b/lib/gconf.c
@@ -121,7 +121,7 @@
 }
 
 struct mh_groute *
-mh_gconf_named(const struct mh_gconf *c, const char *name)
+mh_gconf_route_by_name(const struct mh_gconf *c, const char *name)
 {
 	for (guint i = 0; i < c->routes->len; i++) {
 		struct mh_groute *r = g_ptr_array_index(c->routes, i);
--- a/lib/hub.c
+++ b/lib/hub.c
@@ -33,7 +33,7 @@
 		return;
 	}
 	mh_member_rx(h->k, l->conn, f);
-	mh_conf_see(h->k, l->conn, f->generation);
+	mh_conf_peer_generation(h->k, l->conn, f->generation);
 	if (h->handlers[f->body_case].fn != NULL)
 		h->handlers[f->body_case].fn(
 		    h->handlers[f->body_case].arg, l->conn, f);
--- a/lib/ledger.c
+++ b/lib/ledger.c
@@ -157,7 +157,7 @@
 }
 
 static enum mh_ledger_verdict
-check_known(struct mh_ledger_row *r, const struct mh_ledger_ask *a)
+check_known(struct mh_ledger_row *r, const struct mh_ledger_request *a)
 {
 	if (r->body_hash != 0 && r->body_hash != a->body_hash)
 		return MH_LEDGER_MISMATCH;
@@ -175,7 +175,7 @@
 
 static enum mh_ledger_verdict
 check_timestamped(
-    struct mh_ledger *l, const struct mh_ledger_ask *a, int64_t stamp_ms)
+    struct mh_ledger *l, const struct mh_ledger_request *a, int64_t stamp_ms)
 {
 	if (stamp_ms > a->now_ms + a->skew_ms)
 		return MH_LEDGER_FUTURE;
@@ -191,7 +191,7 @@
  * restart, takeover or eviction that set the bound.
  */
 static enum mh_ledger_verdict
-check_opaque(struct mh_ledger *l, const struct mh_ledger_ask *a)
+check_opaque(struct mh_ledger *l, const struct mh_ledger_request *a)
 {
 	int64_t bound = l->bound_ms[a->partition];
 
@@ -206,7 +206,7 @@
  * runs here.  A later id is a retry by the caller and is checked again.
  */
 static bool
-is_refused(struct mh_ledger *l, const struct mh_ledger_ask *a)
+is_refused(struct mh_ledger *l, const struct mh_ledger_request *a)
 {
 	const struct refusal *m = g_hash_table_lookup(l->refusals, a->key);
 
@@ -216,7 +216,7 @@
 }
 
 enum mh_ledger_verdict
-mh_ledger_ask(struct mh_ledger *l, const struct mh_ledger_ask *a)
+mh_ledger_request(struct mh_ledger *l, const struct mh_ledger_request *a)
 {
 	struct mh_ledger_row *r = g_hash_table_lookup(l->rows, a->key);
 	int64_t stamp_ms = key_timestamp(a->key);
--- a/lib/limit.c
+++ b/lib/limit.c
@@ -147,7 +147,7 @@
 }
 
 int64_t
-mh_limit_reserve(struct mh_kern *k, const struct mh_key_owner *who,
+mh_limit_reserve(struct mh_kern *k, const struct mh_key_match *who,
     double units, struct mh_limit_ticket *t)
 {
 	struct limit *l = mh_kern_get(k, "limit");
--- a/lib/marlhoist.h
+++ b/lib/marlhoist.h
@@ -314,7 +314,7 @@
 	char *pool;
 	char *model;
 	char *path;
-	bool never;
+	bool at_most_once;
 	int64_t timeout_us;
 	uint32_t top_k;
 	uint32_t max_tokens;
@@ -387,7 +387,7 @@
 };
 
 /** struct mh_key_match - a declared key and its organisation. */
-struct mh_key_owner {
+struct mh_key_match {
 	struct mh_org *org;
 	struct mh_key *key;
 };
@@ -418,7 +418,7 @@
 /** mh_domain_ok() - true if @name is a valid name of a failure domain. */
 bool mh_domain_ok(const char *name);
 /** mh_decl_find_key() - the record of a key, or NULL; in constant time. */
-const struct mh_key_owner *mh_decl_find_key(
+const struct mh_key_match *mh_decl_find_key(
     const struct mh_decl *d, const char *key);
 /** mh_key_hash() - BLAKE2b-256 of a key, which declarations store as hex. */
 void mh_key_hash(const char *key, uint8_t hash[MH_HASH_LEN]);
@@ -515,7 +515,8 @@
 /** mh_conf_on_change() - called after each new generation is in force. */
 void mh_conf_on_change(struct mh_kern *k, mh_conf_fn fn, void *arg);
 /** mh_conf_peer_generation() - the peer on @conn has @generation. */
-void mh_conf_see(struct mh_kern *k, uint64_t conn, uint64_t generation);
+void mh_conf_peer_generation(
+    struct mh_kern *k, uint64_t conn, uint64_t generation);
 /**
  * mh_conf_load() - puts a document in force without the KV service.
  *
@@ -773,7 +774,7 @@
 struct mh_owners;
 
 /** struct mh_partition - the owner of one partition. */
-struct mh_part {
+struct mh_partition {
 	char *vm; /* "": none */
 	uint64_t incarnation; /* of the side process */
 	uint64_t epoch; /* incremented by each change of the owner */
@@ -782,18 +783,19 @@
 
 struct mh_owners *mh_owners_create(const char *service);
 void mh_owners_destroy(struct mh_owners *o);
-const struct mh_part *mh_owners_part(const struct mh_owners *o, uint32_t p);
+const struct mh_partition *mh_owners_part(
+    const struct mh_owners *o, uint32_t p);
 void mh_owners_set(struct mh_owners *o, uint32_t p, const char *vm,
     uint64_t incarnation, uint64_t epoch, int64_t bound_ms);
 void mh_owners_set_version(struct mh_owners *o, uint64_t version);
 /** mh_owners_parse() - reads the JSON of the KV service; false: malformed. */
 bool mh_owners_parse(struct mh_owners *o, GBytes *value);
 /** mh_owners_serialize() - the JSON for the KV service, owned. */
-GBytes *mh_owners_print(const struct mh_owners *o);
+GBytes *mh_owners_serialize(const struct mh_owners *o);
 /** mh_owners_kv_stale() - the last table parsed had an older epoch. */
 bool mh_owners_kv_stale(const struct mh_owners *o);
 /** mh_owners_merge() - takes newer epochs from a frame; true if any. */
-bool mh_owners_take(struct mh_owners *o, const Mh__Owners *f);
+bool mh_owners_merge(struct mh_owners *o, const Mh__Owners *f);
 void mh_owners_send(
     struct mh_kern *k, const struct mh_owners *o, uint64_t conn);
 uint32_t mh_partition_of(const char *key);
@@ -816,7 +818,7 @@
  * Return: 0 if reserved, the microseconds to wait before a retry, or -1 if
  * @units are more than the limits can ever allow.
  */
-int64_t mh_limit_reserve(struct mh_kern *k, const struct mh_key_owner *who,
+int64_t mh_limit_reserve(struct mh_kern *k, const struct mh_key_match *who,
     double units, struct mh_limit_ticket *t);
 /** mh_limit_settle() - returns the unused units and the stream; clears @t. */
 void mh_limit_settle(struct mh_kern *k, struct mh_limit_ticket *t, double used);
@@ -941,7 +943,7 @@
 void mh_ledger_close(struct mh_ledger *l, uint32_t p);
 int64_t mh_ledger_bound(const struct mh_ledger *l, uint32_t p);
 /** struct mh_ledger_request - a call to be run. */
-struct mh_ledger_ask {
+struct mh_ledger_request {
 	uint32_t partition;
 	const char *key;
 	const uint8_t *request; /* id of MH_ID_LEN bytes */
@@ -951,8 +953,8 @@
 	int64_t retention_ms;
 };
 /** mh_ledger_request() - decides on a call; with RUN the row is added. */
-enum mh_ledger_verdict mh_ledger_ask(
-    struct mh_ledger *l, const struct mh_ledger_ask *a);
+enum mh_ledger_verdict mh_ledger_request(
+    struct mh_ledger *l, const struct mh_ledger_request *a);
 /** mh_ledger_refuse() - records that @request has not run and must not. */
 void mh_ledger_refuse(struct mh_ledger *l, const char *key,
     const uint8_t *request, int64_t now_ms);
@@ -1010,16 +1012,16 @@
 
 /** enum mh_refusal - why a side process did not run a call. */
 enum mh_refusal {
-	WHY_NONE,
-	WHY_FULL,
-	WHY_LATE, /* it cannot finish before its deadline */
-	WHY_LEAVING,
-	WHY_NOT_OWNER, /* of the key's partition, or not in that epoch */
-	WHY_MARKED, /* this request was refused before */
-	WHY_REVOKED, /* the key was revoked */
-	WHY_MISMATCH, /* the key came with another body before */
-	WHY_FUTURE, /* the key's timestamp is in the future */
-	WHY_HELD /* endpoints crash on its request */
+	MH_REFUSAL_NONE,
+	MH_REFUSAL_QUEUE_FULL,
+	MH_REFUSAL_DEADLINE, /* it cannot finish before its deadline */
+	MH_REFUSAL_DRAINING,
+	MH_REFUSAL_NOT_OWNER, /* of the key's partition, or not in that epoch */
+	MH_REFUSAL_DUPLICATE, /* this request was refused before */
+	MH_REFUSAL_REVOKED, /* the key was revoked */
+	MH_REFUSAL_MISMATCH, /* the key came with another body before */
+	MH_REFUSAL_FUTURE, /* the key's timestamp is in the future */
+	MH_REFUSAL_QUARANTINED /* endpoints crash on its request */
 };
 
 /** struct mh_side_args - identity and capacity of a side process. */
--- a/lib/outcome.c
+++ b/lib/outcome.c
@@ -107,18 +107,18 @@
 /* GET looks the outcome up, DELETE revokes a request that has not run. */
 void
 outcome_request(struct entry *e, const struct mh_request_msg *m,
-    const struct mh_key_owner *who, bool revoke)
+    const struct mh_key_match *who, bool revoke)
 {
 	char **part = g_strsplit(m->path + strlen(PREFIX_OUTCOMES), "/", 2);
 	struct mh_pipeline *pl = NULL;
 	const struct mh_stage *s;
-	const struct mh_part *owner;
+	const struct mh_partition *owner;
 	struct mh_peer *p;
 	char *key;
 
 	if (part[0] != NULL && part[1] != NULL && entry_key_is_valid(part[1]))
 		pl = mh_decl_pipeline(mh_conf_get(e->k), part[0]);
-	if (pl == NULL || !pipe_last_stage(pl)->never) {
+	if (pl == NULL || !pipe_last_stage(pl)->at_most_once) {
 		refuse_lookup(e, m->id, 404, "no-outcome",
 		    "The path names no pipeline with a non-repeatable stage.",
 		    "Use /v1/outcomes/PIPELINE/KEY.");
--- a/lib/owner.c
+++ b/lib/owner.c
@@ -13,7 +13,7 @@
 	char *service;
 	uint64_t version; /* the KV's modify index */
 	bool kv_stale;
-	struct mh_part part[MH_PARTITIONS];
+	struct mh_partition part[MH_PARTITIONS];
 };
 
 struct mh_owners *
@@ -38,7 +38,7 @@
 	g_free(o);
 }
 
-const struct mh_part *
+const struct mh_partition *
 mh_owners_part(const struct mh_owners *o, uint32_t p)
 {
 	return &o->part[p % MH_PARTITIONS];
@@ -54,7 +54,7 @@
 mh_owners_set(struct mh_owners *o, uint32_t p, const char *vm,
     uint64_t incarnation, uint64_t epoch, int64_t bound_ms)
 {
-	struct mh_part *t = &o->part[p % MH_PARTITIONS];
+	struct mh_partition *t = &o->part[p % MH_PARTITIONS];
 	char *old = t->vm;
 
 	t->vm = g_strdup(vm);
@@ -107,13 +107,13 @@
 }
 
 GBytes *
-mh_owners_print(const struct mh_owners *o)
+mh_owners_serialize(const struct mh_owners *o)
 {
 	json_t *a = json_array();
 	char *text;
 
 	for (uint32_t p = 0; p < MH_PARTITIONS; p++) {
-		const struct mh_part *t = &o->part[p];
+		const struct mh_partition *t = &o->part[p];
 		char inc[24];
 
 		snprintf(inc, sizeof(inc), "%" PRIx64, t->incarnation);
@@ -128,7 +128,7 @@
 }
 
 bool
-mh_owners_take(struct mh_owners *o, const Mh__Owners *f)
+mh_owners_merge(struct mh_owners *o, const Mh__Owners *f)
 {
 	bool changed = false;
 
--- a/lib/pick.c
+++ b/lib/pick.c
@@ -24,7 +24,7 @@
 	for (int i = 0; i < KEY_CANDIDATES; i++) {
 		uint8_t id[MH_ID_LEN];
 		char *text, *key;
-		const struct mh_part *part;
+		const struct mh_partition *part;
 		struct mh_peer *p;
 
 		mh_uuid7(r->e->k, id);
@@ -51,7 +51,7 @@
 pick_owner(struct request *r, const struct mh_stage *s)
 {
 	struct mh_owners *o = entry_owners(r->e, s->pool);
-	const struct mh_part *part;
+	const struct mh_partition *part;
 	struct mh_peer *p;
 
 	if (!r->key_given)
@@ -68,7 +68,7 @@
 {
 	struct mh_pick q = { .pool = s->pool };
 
-	if (s->never)
+	if (s->at_most_once)
 		return pick_owner(r, s);
 	q.isolation_hash =
 	    mh_poison_isolation_hash(r->e->k, r->fingerprint, s->pool);
--- a/lib/pipe.c
+++ b/lib/pipe.c
@@ -218,7 +218,7 @@
 			  "Retry-After.",
 		.outcome = entry_key_outcome(r) };
 
-	if (stage_of(r)->never && running_tries(r) > 0)
+	if (stage_of(r)->at_most_once && running_tries(r) > 0)
 		return;
 	if (r->outcome_unknown) {
 		give_up(r, p.detail, 0);
@@ -316,7 +316,7 @@
 static bool
 owner_may_return(struct request *r)
 {
-	const struct mh_part *part = mh_owners_part(
+	const struct mh_partition *part = mh_owners_part(
 	    entry_owners(r->e, stage_of(r)->pool), mh_partition_of(r->key));
 	const struct mh_peer *p = mh_member_find(r->e->k, part->vm);
 
@@ -333,17 +333,17 @@
 					: "not-run" };
 
 	switch (res->reason) {
-	case WHY_MISMATCH:
+	case MH_REFUSAL_MISMATCH:
 		p.kind = "key-reused";
 		p.detail = "The key came with another body before.";
 		p.remedy = "Use a new key for a new request.";
 		break;
-	case WHY_REVOKED:
+	case MH_REFUSAL_REVOKED:
 		p.kind = "key-revoked";
 		p.detail = "The key was revoked and never runs.";
 		p.remedy = "Use a new key if the request is still wanted.";
 		break;
-	case WHY_FUTURE:
+	case MH_REFUSAL_FUTURE:
 		p.status = 400;
 		p.kind = "key-in-future";
 		p.detail = "The key is stamped later than now.";
@@ -397,12 +397,12 @@
 	stop_timers(r);
 	if ((not_run && refused_permanently(r, res)) || complete_text(r, p))
 		return;
-	if (res->reason == WHY_HELD ||
+	if (res->reason == MH_REFUSAL_QUARANTINED ||
 	    mh_poison_quarantine_us(r->e->k, r->fingerprint) > 0) {
 		pipe_quarantine(r);
 		return;
 	}
-	if (s->never && r->key_given && not_run && !r->outcome_unknown &&
+	if (s->at_most_once && r->key_given && not_run && !r->outcome_unknown &&
 	    remaining_us(r) > 4 * HANDOVER_WAIT_US) {
 		wait_for_owner(r);
 		return;
@@ -411,7 +411,7 @@
 	    mh_predict_us(r->e->k, s->pool, tokens_of(r, s), NULL) / 2;
 	/* A refused call did no work: only real retries use the budget. */
 	if (!r->outcome_unknown && fits && r->picks < MAX_PICKS &&
-	    (not_run || (!s->never && spend_budget(r)))) {
+	    (not_run || (!s->at_most_once && spend_budget(r)))) {
 		mh_count(r->e->k, not_run ? "pipe_repicks" : "pipe_retries", 1);
 		next_try(r, false);
 		return;
@@ -465,8 +465,8 @@
 		Mh__Result bad = MH__RESULT__INIT;
 
 		mh_count(r->e->k, "pipe_garbage", 1);
-		bad.outcome = stage_of(r)->never ? MH__OUTCOME__UNKNOWN
-						 : MH__OUTCOME__FAILED;
+		bad.outcome = stage_of(r)->at_most_once ? MH__OUTCOME__UNKNOWN
+							: MH__OUTCOME__FAILED;
 		handle_failed_try(r, p, &bad);
 	}
 }
@@ -626,7 +626,7 @@
 	const struct mh_stage *s = stage_of(r);
 	int64_t dev, mean;
 
-	if (s->never)
+	if (s->at_most_once)
 		return;
 	if (p->retrying == MH_RETRY_PLAIN) {
 		r->check_timer =
@@ -670,7 +670,7 @@
 		.org_weight = r->org->weight,
 		.path = mh_stage_path(s),
 		.stream = s->kind == MH_GENERATE,
-		.at_most_once = s->never,
+		.at_most_once = s->at_most_once,
 		.fingerprint = r->fingerprint };
 
 	if (s->kind == MH_GENERATE && r->d.model != NULL)
@@ -681,13 +681,13 @@
 	 * before the deadline, so that its "not run" arrives in time; without
 	 * the margin the caller would get "unknown".
 	 */
-	a.remaining_us =
-	    s->never ? remaining_us(r) - REFUSAL_MARGIN_US : stage_budget_us(r);
+	a.remaining_us = s->at_most_once ? remaining_us(r) - REFUSAL_MARGIN_US
+					 : stage_budget_us(r);
 	a.out_tokens = tokens_of(r, s);
 	a.units = s->kind == MH_GENERATE ? (uint64_t)pipe_units(r) : 1;
 	a.predicted_us =
 	    (uint64_t)mh_predict_us(r->e->k, s->pool, a.out_tokens, NULL);
-	if (s->never) {
+	if (s->at_most_once) {
 		struct mh_owners *o = entry_owners(r->e, s->pool);
 
 		/* A refused call id never runs, so each try gets a new one. */
@@ -714,8 +714,8 @@
 	struct mh_peer *p = pick_endpoint(r, s);
 	struct stage_try *t = &r->tries[hedge ? 1 : 0];
 
-	if (p == NULL && s->never && r->key_given && owner_may_return(r) &&
-	    remaining_us(r) > 4 * HANDOVER_WAIT_US) {
+	if (p == NULL && s->at_most_once && r->key_given &&
+	    owner_may_return(r) && remaining_us(r) > 4 * HANDOVER_WAIT_US) {
 		wait_for_owner(r);
 		return;
 	}
--- a/lib/schedrun.c
+++ b/lib/schedrun.c
@@ -282,9 +282,9 @@
 
 		if (ss->pieces[i].in_flight || !ss->pieces[i].needed)
 			continue;
-		if (gw->room_bytes > 0 && w->result_bytes > 0 &&
+		if (gw->result_memory_bytes > 0 && w->result_bytes > 0 &&
 		    (double)(w->result_bytes + st->result_bytes) >
-			MEMORY_SHARE_MAX * (double)gw->room_bytes)
+			MEMORY_SHARE_MAX * (double)gw->result_memory_bytes)
 			return;
 		u->job->state->started = true;
 		ss->pieces[i].in_flight = true;
@@ -462,8 +462,8 @@
 	    "of=%u ready=%u held_kb=%" PRIu64 " room_kb=%" PRIu64
 	    " expect_ms=%" PRId64 " slow=%.2f first=%s",
 	    b->id, p->name, n->id, b->items->len, gw->batch,
-	    ready_pieces(ready), w->result_bytes >> 10, gw->room_bytes >> 10,
-	    mh_ms(b->expect_us), w->slowdown,
+	    ready_pieces(ready), w->result_bytes >> 10,
+	    gw->result_memory_bytes >> 10, mh_ms(b->expect_us), w->slowdown,
 	    g_array_index(b->items, struct mh_batch_item, 0).job->id);
 	b->sched = sc;
 	if (starts_at_once(sc, p, w, b))
@@ -476,7 +476,7 @@
 may_call(struct mh_sched *sc, const struct sched_pool *p,
     const struct mh_node *n, const struct worker *w)
 {
-	return mh_node_usable(sc->f, n) && w->in_flight < p->work->running &&
+	return mh_node_usable(sc->f, n) && w->in_flight < p->work->max_calls &&
 	    w->pause_end_us <= mh_now(sc->k);
 }
 
--- a/lib/schedwork.c
+++ b/lib/schedwork.c
@@ -31,7 +31,7 @@
 const struct mh_gwork *
 mh_sched_work_conf(const struct mh_sched *sc, const char *pool)
 {
-	static const struct mh_gwork none = { .batch = 1, .running = 1 };
+	static const struct mh_gwork none = { .batch = 1, .max_calls = 1 };
 	const struct mh_gpool *p =
 	    sc->conf == NULL ? NULL : mh_gconf_pool(sc->conf, pool);
 
@@ -138,7 +138,7 @@
 		struct mh_node *n = g_ptr_array_index(nodes, i);
 
 		if (mh_node_usable(sc->f, n))
-			rate += w->batch * w->running /
+			rate += w->batch * w->max_calls /
 			    (full_us * mh_sched_worker_of(p, n->id)->slowdown);
 	}
 	return rate * (double)MH_US_PER_S;
--- a/lib/side.c
+++ b/lib/side.c
@@ -73,7 +73,7 @@
 	}
 	c = call_new(s, conn, f->call);
 	if (s->draining)
-		call_refuse(c, WHY_LEAVING, 0);
+		call_refuse(c, MH_REFUSAL_DRAINING, 0);
 	else if (c->at_most_once)
 		call_admit_once(s, c);
 	else
--- a/lib/sidecall.c
+++ b/lib/sidecall.c
@@ -261,7 +261,7 @@
 	int64_t us = mh_poison_quarantine_us(s->k, c->fingerprint);
 
 	if (us > 0)
-		call_refuse(c, WHY_HELD, us);
+		call_refuse(c, MH_REFUSAL_QUARANTINED, us);
 	return us > 0;
 }
 
@@ -290,7 +290,7 @@
 
 	while ((it = mh_queue_pop_infeasible(
 		    s->queue, mh_now(s->k), infeasible_factor(s))) != NULL)
-		call_refuse(it->call, WHY_LATE, 0);
+		call_refuse(it->call, MH_REFUSAL_DEADLINE, 0);
 	while (s->running < s->a.slots) {
 		bool urgent_only = s->running >= s->a.slots - urgent_slots(s);
 		struct call *c;
@@ -305,7 +305,7 @@
 		 */
 		if (c->at_most_once &&
 		    !mh_claim_owns(s->k, c->partition, c->epoch)) {
-			call_refuse(c, WHY_NOT_OWNER, 0);
+			call_refuse(c, MH_REFUSAL_NOT_OWNER, 0);
 			continue;
 		}
 		if (refuse_if_quarantined(s, c))
@@ -341,12 +341,12 @@
 	if (refuse_if_quarantined(s, c))
 		return;
 	if (misses_deadline(s, c, &wait)) {
-		call_refuse(c, WHY_LATE, wait);
+		call_refuse(c, MH_REFUSAL_DEADLINE, wait);
 		return;
 	}
 	out = mh_queue_put(s->queue, &c->item);
 	if (out != NULL)
-		call_refuse(out->call, WHY_FULL, wait);
+		call_refuse(out->call, MH_REFUSAL_QUEUE_FULL, wait);
 	side_pump(s);
 }
 
@@ -359,14 +359,14 @@
 	c->status = r->status;
 	c->result = r->body == NULL ? NULL : g_bytes_ref(r->body);
 	mh_count(c->s->k, "side_repeats_answered", 1);
-	end_call(c, MH__OUTCOME__DONE, WHY_NONE);
+	end_call(c, MH__OUTCOME__DONE, MH_REFUSAL_NONE);
 }
 
 void
 call_admit_once(struct side *s, struct call *c)
 {
 	struct mh_decl *d = mh_conf_get(s->k);
-	struct mh_ledger_ask a = { .partition = c->partition,
+	struct mh_ledger_request a = { .partition = c->partition,
 		.key = c->once_key,
 		.request = c->key.request,
 		.now_ms = mh_wall(s->k) / MH_US_PER_MS };
@@ -374,13 +374,13 @@
 	const void *data = g_bytes_get_data(c->body, &len);
 
 	if (d == NULL || !mh_claim_owns(s->k, c->partition, c->epoch)) {
-		call_refuse(c, WHY_NOT_OWNER, 0);
+		call_refuse(c, MH_REFUSAL_NOT_OWNER, 0);
 		return;
 	}
 	a.body_hash = mh_hash(data, len) | 1;
 	a.skew_ms = d->policy.skew_us / MH_US_PER_MS;
 	a.retention_ms = d->policy.retention_us / MH_US_PER_MS;
-	switch (mh_ledger_ask(s->ledger, &a)) {
+	switch (mh_ledger_request(s->ledger, &a)) {
 	case MH_LEDGER_RUN:
 		call_enqueue(s, c);
 		break;
@@ -391,20 +391,20 @@
 		send_stored_result(c);
 		break;
 	case MH_LEDGER_REFUSED:
-		call_refuse(c, WHY_MARKED, 0);
+		call_refuse(c, MH_REFUSAL_DUPLICATE, 0);
 		break;
 	case MH_LEDGER_REVOKED:
-		call_refuse(c, WHY_REVOKED, 0);
+		call_refuse(c, MH_REFUSAL_REVOKED, 0);
 		break;
 	case MH_LEDGER_MISMATCH:
-		call_refuse(c, WHY_MISMATCH, 0);
+		call_refuse(c, MH_REFUSAL_MISMATCH, 0);
 		break;
 	case MH_LEDGER_FUTURE:
-		call_refuse(c, WHY_FUTURE, 0);
+		call_refuse(c, MH_REFUSAL_FUTURE, 0);
 		break;
 	case MH_LEDGER_UNKNOWN:
 		mh_count(s->k, "side_unknown", 1);
-		end_call(c, MH__OUTCOME__UNKNOWN, WHY_NONE);
+		end_call(c, MH__OUTCOME__UNKNOWN, MH_REFUSAL_NONE);
 		break;
 	}
 }
@@ -519,7 +519,7 @@
 		c->status = first->status;
 		c->result =
 		    first->result == NULL ? NULL : g_bytes_ref(first->result);
-		end_call(c, first->outcome, WHY_NONE);
+		end_call(c, first->outcome, MH_REFUSAL_NONE);
 	}
 }
 
@@ -628,7 +628,7 @@
 			    c->status, c->result);
 		end_attached(s, c);
 	}
-	end_call(c, c->outcome, WHY_NONE);
+	end_call(c, c->outcome, MH_REFUSAL_NONE);
 	side_pump(s);
 }
 
--- a/marlslope/marlslope.c
+++ b/marlslope/marlslope.c
@@ -290,13 +290,13 @@
 		c = clock();
 		for (int j = 0; j < rows[i]; j++) {
 			char key[32];
-			struct mh_ledger_ask a = { .key = key,
+			struct mh_ledger_request a = { .key = key,
 				.request = request,
 				.now_ms = 1000,
 				.retention_ms = 60000 };
 
 			snprintf(key, sizeof(key), "o/%d", j);
-			mh_ledger_ask(l, &a);
+			mh_ledger_request(l, &a);
 			mh_ledger_end(l, key, MH__OUTCOME__DONE, 200, NULL);
 		}
 		add(&s, rows[i],
--- a/regress/crashrig.c
+++ b/regress/crashrig.c
@@ -428,8 +428,8 @@
 	t->repeat = MH_REPEAT_NEVER;
 	t->attempts = 1;
 	t->timeout_us = 6 * S;
-	t->aim_us = 1 * S;
-	t->gap_aim_us = 800 * MS;
+	t->slo_us = 1 * S;
+	t->gap_slo_us = 800 * MS;
 	g_array_append_val(t->targets, to);
 	g_ptr_array_add(r->conf->routes, t);
 }
--- a/regress/gaterig.c
+++ b/regress/gaterig.c
@@ -91,7 +91,7 @@
 	t->repeat = repeat;
 	t->attempts = attempts;
 	t->timeout_us = 6 * S;
-	t->aim_us = 1 * S;
+	t->slo_us = 1 * S;
 	g_array_append_val(t->targets, to);
 	g_ptr_array_add(r->conf->routes, t);
 }
--- a/regress/streamrig.c
+++ b/regress/streamrig.c
@@ -587,10 +587,10 @@
 	r->name = g_strdup(s->id);
 	r->host = g_strdup("a.example");
 	r->prefix = g_strdup_printf("/%s/", s->id);
-	r->open_to_all = true;
+	r->allow_anonymous = true;
 	r->timeout_us = ROUTE_TIMEOUT_US;
-	r->aim_us = s->has_silence ? SLO_US : SLO_LONG_US;
-	r->gap_aim_us = s->has_silence ? GAP_SLO_US : GAP_SLO_LONG_US;
+	r->slo_us = s->has_silence ? SLO_US : SLO_LONG_US;
+	r->gap_slo_us = s->has_silence ? GAP_SLO_US : GAP_SLO_LONG_US;
 	r->attempts = s->max_attempts;
 	g_array_append_val(r->targets, t);
 	switch (s->route) {
--- a/regress/t_decl.c
+++ b/regress/t_decl.c
@@ -167,7 +167,7 @@
 {
 	GError *err = NULL;
 	struct mh_decl *d = read_text(net_doc, &err);
-	const struct mh_key_owner *w;
+	const struct mh_key_match *w;
 
 	CU_ASSERT_PTR_NOT_NULL_FATAL(d);
 	w = mh_decl_find_key(d, "party-key");
--- a/regress/t_fuzz.c
+++ b/regress/t_fuzz.c
@@ -159,7 +159,7 @@
 	    "\"pool\":\"p\",\"domain\":\"d\",\"state\":\"live\"}]";
 	GRand *g = g_rand_new_with_seed(13);
 	struct mh_owners *o = mh_owners_create("book");
-	GBytes *table = mh_owners_print(o);
+	GBytes *table = mh_owners_serialize(o);
 	gsize len;
 	const void *data = g_bytes_get_data(table, &len);
 
--- a/regress/t_gate.c
+++ b/regress/t_gate.c
@@ -348,7 +348,7 @@
 static struct mh_greq *
 request_with_stage(struct grig *r)
 {
-	struct mh_groute *t = mh_gconf_named(r->conf, "resume");
+	struct mh_groute *t = mh_gconf_route_by_name(r->conf, "resume");
 
 	t->n_stages = 1;
 	t->stages[0].pool = g_strdup("work");
@@ -471,7 +471,7 @@
 	struct mh_gresp a = { .status = 200, .genuine = true, .events = true };
 	struct mh_greq *q;
 
-	mh_gconf_named(r->conf, "resume")->timeout_us = 20 * S;
+	mh_gconf_route_by_name(r->conf, "resume")->timeout_us = 20 * S;
 	q = request_with_stage(r);
 	finish_job(r);
 	mh_gate_head(r->g, r->cur, &a);
@@ -491,7 +491,7 @@
 	struct grig *r = grig_create(4);
 	struct mh_gresp a = { .status = 200, .genuine = true, .events = true };
 
-	mh_gconf_named(r->conf, "resume")->attempts = 3;
+	mh_gconf_route_by_name(r->conf, "resume")->attempts = 3;
 	request_with_stage(r);
 	for (uint32_t run = 1; run <= 3; run++) {
 		CU_ASSERT_EQUAL_FATAL(r->jobs, run);
--- a/regress/t_leave.c
+++ b/regress/t_leave.c
@@ -18,7 +18,7 @@
 static struct mh_greq *
 chat(struct grig *r)
 {
-	struct mh_groute *t = mh_gconf_named(r->conf, "stream");
+	struct mh_groute *t = mh_gconf_route_by_name(r->conf, "stream");
 
 	t->n_stages = 1;
 	if (t->stages[0].pool == NULL)
--- a/regress/t_ledger.c
+++ b/regress/t_ledger.c
@@ -31,7 +31,7 @@
 static enum mh_ledger_verdict
 request_run(struct mh_ledger *l, const char *key, const uint8_t *request)
 {
-	struct mh_ledger_ask a = { .partition = 0,
+	struct mh_ledger_request a = { .partition = 0,
 		.key = key,
 		.request = request,
 		.body_hash = 7,
@@ -39,7 +39,7 @@
 		.skew_ms = 500,
 		.retention_ms = 60000 };
 
-	return mh_ledger_ask(l, &a);
+	return mh_ledger_request(l, &a);
 }
 
 static void
@@ -64,7 +64,7 @@
 test_same_key_other_body(void)
 {
 	struct mh_ledger *l = mh_ledger_create(10);
-	struct mh_ledger_ask a = { .key = "acme/k",
+	struct mh_ledger_request a = { .key = "acme/k",
 		.request = req1,
 		.body_hash = 9,
 		.now_ms = NOW_MS,
@@ -72,7 +72,7 @@
 
 	mh_ledger_open(l, 0, 0);
 	CU_ASSERT_EQUAL(request_run(l, "acme/k", req1), MH_LEDGER_RUN);
-	CU_ASSERT_EQUAL(mh_ledger_ask(l, &a), MH_LEDGER_MISMATCH);
+	CU_ASSERT_EQUAL(mh_ledger_request(l, &a), MH_LEDGER_MISMATCH);
 	mh_ledger_destroy(l);
 }
 
@@ -264,9 +264,9 @@
 	GBytes *old, *new;
 
 	mh_owners_set(a, 3, "vm1", 11, 1, 0);
-	old = mh_owners_print(a);
+	old = mh_owners_serialize(a);
 	mh_owners_set(a, 3, "vm2", 0xfedcba9876543210, 2, 5);
-	new = mh_owners_print(a);
+	new = mh_owners_serialize(a);
 	CU_ASSERT_TRUE(mh_owners_parse(b, new));
 	CU_ASSERT_FALSE(mh_owners_kv_stale(b));
 	CU_ASSERT_EQUAL(mh_owners_part(b, 3)->incarnation, 0xfedcba9876543210);
--- a/regress/t_nodes.c
+++ b/regress/t_nodes.c
@@ -375,7 +375,7 @@
 		/* Two entries of twelve get nine tenths of the traffic. */
 		struct net_node *e =
 		    w.e[i % 10 == 0 ? i / 10 % ENTRIES : i % 2];
-		const struct mh_key_owner *key =
+		const struct mh_key_match *key =
 		    mh_decl_find_key(mh_conf_get(e->k), "party-key");
 		struct mh_limit_ticket t = { .org = NULL };
 
--- a/regress/t_platform.c
+++ b/regress/t_platform.c
@@ -139,14 +139,17 @@
 	r = mh_gconf_route(c, "A.EXAMPLE", "/x/y/1?q");
 	CU_ASSERT_STRING_EQUAL(r->name, "r2");
 	CU_ASSERT_EQUAL(r->repeat, MH_REPEAT_SAFE);
-	CU_ASSERT_EQUAL(mh_gconf_named(c, "r3")->repeat, MH_REPEAT_NEVER);
-	CU_ASSERT_TRUE(mh_gconf_named(c, "r3")->open_to_all);
-	CU_ASSERT_EQUAL(mh_gconf_named(c, "r4")->repeat, MH_REPEAT_RESUME);
+	CU_ASSERT_EQUAL(
+	    mh_gconf_route_by_name(c, "r3")->repeat, MH_REPEAT_NEVER);
+	CU_ASSERT_TRUE(mh_gconf_route_by_name(c, "r3")->allow_anonymous);
+	CU_ASSERT_EQUAL(
+	    mh_gconf_route_by_name(c, "r4")->repeat, MH_REPEAT_RESUME);
 	CU_ASSERT_PTR_NULL(mh_gconf_route(c, "b.example", "/x/1"));
 	CU_ASSERT_PTR_NULL(mh_gconf_route(c, "a.example", "/x"));
 	CU_ASSERT_EQUAL(mh_gconf_pool(c, "p")->work.batch, 8);
 	CU_ASSERT_EQUAL(mh_gconf_pool(c, "p")->work.item_us, 21 * MH_US_PER_MS);
-	CU_ASSERT_EQUAL(mh_gconf_pool(c, "p")->work.room_bytes, 18000000);
+	CU_ASSERT_EQUAL(
+	    mh_gconf_pool(c, "p")->work.result_memory_bytes, 18000000);
 	o = g_hash_table_lookup(c->keys, "k2");
 	CU_ASSERT_STRING_EQUAL(o->name, "o");
 	CU_ASSERT_EQUAL(o->priority, 2);
--- a/regress/world.c
+++ b/regress/world.c
@@ -410,10 +410,10 @@
 	p->name = g_strdup(name);
 	p->is_work = true;
 	p->work.batch = batch;
-	p->work.running = 1;
+	p->work.max_calls = 1;
 	p->work.call_us = call_us;
 	p->work.item_us = item_us;
-	p->work.room_bytes = memory;
+	p->work.result_memory_bytes = memory;
 	g_hash_table_replace(w->conf->pools, p->name, p);
 	for (uint32_t i = 0; i < n; i++) {
 		struct wnode *nd = &w->nodes[w->n_nodes++];
