--- a/lib/admin.c
+++ b/lib/admin.c
@@ -1,5 +1,5 @@
 /**
- * DOC: What operators ask of any process: health, metrics, state.
+ * DOC: Health checks, metrics and state dumps of every process.
  */
 
 #include "marlhoist.h"
--- a/lib/client.c
+++ b/lib/client.c
@@ -1,5 +1,5 @@
 /**
- * DOC: HTTP client: libcurl's multi interface hung on the loop.
+ * DOC: HTTP client: libcurl's multi interface driven by the event loop.
  */
 
 #include "marlhoist.h"
@@ -7,24 +7,24 @@
 #include <curl/curl.h>
 #include <string.h>
 
-#define MAX_ANSWER (4U << 20)
-#define CONNECT_MS 1000L
+#define MAX_RESPONSE_BYTES (4U << 20)
+#define CONNECT_TIMEOUT_MS 1000L
 
 struct mh_client {
 	struct mh_kern *k;
 	struct mh_loop *loop;
 	CURLM *multi;
 	struct mh_timer *timer;
-	GHashTable *calls; /* id -> struct http */
+	GHashTable *calls; /* id -> struct transfer */
 };
 
-struct http {
+struct transfer {
 	struct mh_client *c;
 	uint64_t id;
 	CURL *easy;
 	struct curl_slist *headers;
 	GBytes *body;
-	GByteArray *answer;
+	GByteArray *response;
 	mh_http_data_fn data;
 	mh_http_done_fn done;
 	void *arg;
@@ -32,7 +32,7 @@
 };
 
 static void
-free_http(struct http *h)
+free_transfer(struct transfer *h)
 {
 	g_hash_table_remove(h->c->calls, &h->id);
 	curl_multi_remove_handle(h->c->multi, h->easy);
@@ -40,12 +40,12 @@
 	curl_slist_free_all(h->headers);
 	if (h->body != NULL)
 		g_bytes_unref(h->body);
-	g_byte_array_unref(h->answer);
+	g_byte_array_unref(h->response);
 	g_free(h);
 }
 
 static uint32_t
-status_of(const struct http *h)
+status_of(const struct transfer *h)
 {
 	long status = 0;
 
@@ -54,7 +54,7 @@
 }
 
 static void
-finish(struct http *h, CURLcode rc)
+finish(struct transfer *h, CURLcode rc)
 {
 	struct mh_http_done d = { .whole = rc == CURLE_OK };
 	mh_http_done_fn done = h->done;
@@ -65,8 +65,8 @@
 	d.broke = rc == CURLE_RECV_ERROR || rc == CURLE_SEND_ERROR ||
 	    rc == CURLE_GOT_NOTHING || rc == CURLE_PARTIAL_FILE;
 	d.index = h->index;
-	d.body = g_bytes_new(h->answer->data, h->answer->len);
-	free_http(h);
+	d.body = g_bytes_new(h->response->data, h->response->len);
+	free_transfer(h);
 	done(arg, &d);
 	g_bytes_unref(d.body);
 }
@@ -78,7 +78,7 @@
 	int left;
 
 	while ((m = curl_multi_info_read(c->multi, &left)) != NULL) {
-		struct http *h = NULL;
+		struct transfer *h = NULL;
 
 		if (m->msg != CURLMSG_DONE)
 			continue;
@@ -88,7 +88,7 @@
 }
 
 static void
-act(struct mh_client *c, curl_socket_t fd, int what)
+socket_action(struct mh_client *c, curl_socket_t fd, int what)
 {
 	int running;
 
@@ -102,7 +102,7 @@
 	struct mh_client *c = arg;
 
 	c->timer = NULL;
-	act(c, CURL_SOCKET_TIMEOUT, 0);
+	socket_action(c, CURL_SOCKET_TIMEOUT, 0);
 }
 
 static int
@@ -128,7 +128,7 @@
 {
 	struct sock *s = arg;
 
-	act(s->c, s->fd,
+	socket_action(s->c, s->fd,
 	    (readable ? CURL_CSELECT_IN : 0) |
 		(writable ? CURL_CSELECT_OUT : 0));
 }
@@ -160,15 +160,15 @@
 static size_t
 on_data(char *data, size_t size, size_t n, void *arg)
 {
-	struct http *h = arg;
+	struct transfer *h = arg;
 
 	if (h->data != NULL)
 		return h->data(h->arg, status_of(h), data, size * n) ? size * n
 								     : 0;
-	/* An endless answer must not eat our memory. */
-	if (h->answer->len + size * n > MAX_ANSWER)
+	/* Bounds the memory that an endless response can take. */
+	if (h->response->len + size * n > MAX_RESPONSE_BYTES)
 		return 0;
-	g_byte_array_append(h->answer, (uint8_t *)data, (guint)(size * n));
+	g_byte_array_append(h->response, (uint8_t *)data, (guint)(size * n));
 	return size * n;
 }
 
@@ -176,7 +176,7 @@
 on_header(char *data, size_t size, size_t n, void *arg)
 {
 	static const char name[] = "x-consul-index:";
-	struct http *h = arg;
+	struct transfer *h = arg;
 	size_t len = size * n;
 	char *text;
 
@@ -191,7 +191,7 @@
 }
 
 static void
-set_body(struct http *h, const struct mh_http_call *call)
+set_body(struct transfer *h, const struct mh_http_call *call)
 {
 	gsize len = 0;
 	const char *data = "";
@@ -216,12 +216,12 @@
 mh_client_start(struct mh_client *c, const struct mh_http_call *call,
     mh_http_data_fn data, mh_http_done_fn done, void *arg)
 {
-	struct http *h = g_new0(struct http, 1);
+	struct transfer *h = g_new0(struct transfer, 1);
 
 	h->c = c;
 	h->id = mh_next_id(c->k);
 	h->easy = curl_easy_init();
-	h->answer = g_byte_array_new();
+	h->response = g_byte_array_new();
 	h->data = data;
 	h->done = done;
 	h->arg = arg;
@@ -234,14 +234,15 @@
 	curl_easy_setopt(h->easy, CURLOPT_WRITEDATA, h);
 	curl_easy_setopt(h->easy, CURLOPT_HEADERFUNCTION, on_header);
 	curl_easy_setopt(h->easy, CURLOPT_HEADERDATA, h);
-	curl_easy_setopt(h->easy, CURLOPT_CONNECTTIMEOUT_MS, CONNECT_MS);
+	curl_easy_setopt(
+	    h->easy, CURLOPT_CONNECTTIMEOUT_MS, CONNECT_TIMEOUT_MS);
 	curl_easy_setopt(h->easy, CURLOPT_TIMEOUT_MS,
 	    (long)(call->timeout_us / MH_US_PER_MS) + 1);
 	/*
-	 * libcurl sends a request again by itself when a reused connection
-	 * closed before the first byte of the answer.  The endpoint may have
-	 * run the first one: a non-repeatable call would run twice.  On a
-	 * fresh connection it never does that.
+	 * libcurl itself retries a request if a reused connection closes before
+	 * the first byte of the response.  The endpoint may have executed the
+	 * first request, so a non-repeatable call would be executed twice.
+	 * libcurl never retries on a fresh connection.
 	 */
 	if (call->once) {
 		curl_easy_setopt(h->easy, CURLOPT_FRESH_CONNECT, 1L);
@@ -256,10 +257,10 @@
 void
 mh_client_abort(struct mh_client *c, uint64_t id)
 {
-	struct http *h = g_hash_table_lookup(c->calls, &id);
+	struct transfer *h = g_hash_table_lookup(c->calls, &id);
 
 	if (h != NULL)
-		free_http(h);
+		free_transfer(h);
 }
 
 static void
@@ -269,7 +270,7 @@
 	GList *all = g_hash_table_get_values(c->calls);
 
 	for (GList *n = all; n != NULL; n = n->next)
-		free_http(n->data);
+		free_transfer(n->data);
 	g_list_free(all);
 	mh_timer_stop(c->k, &c->timer);
 	curl_multi_cleanup(c->multi);
--- a/lib/daemon.c
+++ b/lib/daemon.c
@@ -1,5 +1,5 @@
 /**
- * DOC: What every daemon does the same way: settings, secret, logs.
+ * DOC: What all daemons share: settings, secret, incarnation and logging.
  */
 
 #include "marlhoist.h"
@@ -12,25 +12,25 @@
 #include <string.h>
 
 #define DEFAULT_SLOTS 8
-#define DEFAULT_QUEUE 256
+#define DEFAULT_QUEUE_LIMIT 256
 #define MAX_SLOTS 4096
-#define MIN_SECRET 16
+#define MIN_SECRET_CHARS 16
 
 struct setting {
 	const char *flag;
 	const char *env;
-	const char *what;
+	const char *help_text;
 	size_t offset;
-	enum mh_daemon_kind only; /* with both: for every daemon */
+	enum mh_daemon_kind only; /* the only daemon, unless both is set */
 	bool both;
 	bool required;
-	uint32_t min; /* with max: a number; max 0: text */
-	uint32_t max;
+	uint32_t min; /* of a number */
+	uint32_t max; /* of a number; 0: the value is text */
 };
 
 #define S(fl, en, fld, wh, onl, bth, req, lo, hi)                         \
 	{                                                                 \
-		.flag = fl, .env = en, .what = wh,                        \
+		.flag = fl, .env = en, .help_text = wh,                   \
 		.offset = offsetof(struct mh_settings, fld), .only = onl, \
 		.both = bth, .required = req, .min = lo, .max = hi        \
 	}
@@ -40,10 +40,10 @@
 	    true, 0, 0),
 	S("domain", "MARLHOIST_DOMAIN", domain, "failure domain", 0, true, true,
 	    0, 0),
-	S("listen", "MARLHOIST_LISTEN", listen, "IP:PORT for our processes", 0,
-	    true, true, 0, 0),
+	S("listen", "MARLHOIST_LISTEN", listen,
+	    "IP:PORT for the other processes", 0, true, true, 0, 0),
 	S("advertise", "MARLHOIST_ADVERTISE", advertise,
-	    "IP:PORT that peers dial, if another", 0, true, false, 0, 0),
+	    "IP:PORT that peers dial, if different", 0, true, false, 0, 0),
 	S("http", "MARLHOIST_HTTP", http,
 	    "IP:PORT for callers, health and metrics", 0, true, true, 0, 0),
 	S("kv", "MARLHOIST_KV", kv, "URL of the KV service", 0, true, true, 0,
@@ -51,7 +51,8 @@
 	S("vmlist", "MARLHOIST_VMLIST", vmlist, "URL of the VM list", 0, true,
 	    true, 0, 0),
 	S("secret-file", "MARLHOIST_SECRET_FILE", secret_file,
-	    "file with the processes' shared secret", 0, true, true, 0, 0),
+	    "file with the secret that all processes share", 0, true, true, 0,
+	    0),
 	S("log-level", "MARLHOIST_LOG_LEVEL", log_level, "error, info or debug",
 	    0, true, false, 0, 0),
 	S("cert-file", "MARLHOIST_CERT_FILE", cert_file,
@@ -65,13 +66,13 @@
 	S("endpoint", "MARLHOIST_ENDPOINT", endpoint, "URL of the endpoint",
 	    MH_DAEMON_SIDE, false, true, 0, 0),
 	S("slots", "MARLHOIST_SLOTS", slots,
-	    "calls at the endpoint at once, 1 to 4096", MH_DAEMON_SIDE, false,
-	    false, 1, MAX_SLOTS),
+	    "concurrent calls to the endpoint, 1 to 4096", MH_DAEMON_SIDE,
+	    false, false, 1, MAX_SLOTS),
 	S("queue", "MARLHOIST_QUEUE", queue_limit,
-	    "calls waiting at most, 1 to 4096", MH_DAEMON_SIDE, false, false, 1,
-	    MAX_SLOTS),
+	    "maximum of queued calls, 1 to 4096", MH_DAEMON_SIDE, false, false,
+	    1, MAX_SLOTS),
 	S("grace", "MARLHOIST_GRACE", grace,
-	    "seconds from SIGTERM to SIGKILL, whole, 2 to 3600", 0, true, false,
+	    "whole seconds from SIGTERM to SIGKILL, 2 to 3600", 0, true, false,
 	    MH_GRACE_MIN_S, MH_GRACE_MAX_S),
 };
 #define NSETTINGS (sizeof(settings) / sizeof(settings[0]))
@@ -108,7 +109,8 @@
 		return;
 	}
 	if (!g_ascii_string_to_unsigned(v, 10, t->min, t->max, &n, NULL))
-		bad(program, "--%s \"%s\": write %s", t->flag, v, t->what);
+		bad(program, "--%s \"%s\" is invalid: give %s", t->flag, v,
+		    t->help_text);
 	*(int *)at = (int)n;
 }
 
@@ -141,19 +143,20 @@
 		v = *(char *const *)(const void *)((const char *)s + t->offset);
 		if (v == NULL && t->required)
 			bad(program, "--%s or %s is missing: give %s", t->flag,
-			    t->env, t->what);
-		if (v != NULL && g_str_has_prefix(t->what, "IP:PORT") &&
+			    t->env, t->help_text);
+		if (v != NULL && g_str_has_prefix(t->help_text, "IP:PORT") &&
 		    !is_addr(v))
-			bad(program, "--%s \"%s\" is no IP:PORT: give %s",
-			    t->flag, v, t->what);
-		if (v != NULL && g_str_has_prefix(t->what, "URL") && !is_url(v))
-			bad(program, "--%s \"%s\" is no http URL: give %s",
-			    t->flag, v, t->what);
+			bad(program, "--%s \"%s\" is not IP:PORT: give %s",
+			    t->flag, v, t->help_text);
+		if (v != NULL && g_str_has_prefix(t->help_text, "URL") &&
+		    !is_url(v))
+			bad(program, "--%s \"%s\" is not an HTTP URL: give %s",
+			    t->flag, v, t->help_text);
 	}
 	if ((s->cert_file == NULL) != (s->key_file == NULL))
 		bad(program,
-		    "--cert-file and --key-file go together: "
-		    "give both or none");
+		    "--cert-file and --key-file must be used together: "
+		    "give both or neither");
 }
 
 void
@@ -164,7 +167,7 @@
 	struct arg_str *strs[NSETTINGS];
 	struct arg_lit *only_check =
 	    arg_lit0(NULL, "check-settings", "check the settings and exit");
-	struct arg_lit *help = arg_lit0("h", "help", "show this");
+	struct arg_lit *help = arg_lit0("h", "help", "show this help");
 	struct arg_end *end = arg_end(10);
 	void *table[NSETTINGS + 3];
 	size_t n = 0;
@@ -172,11 +175,11 @@
 	program = program == NULL ? argv[0] : program + 1;
 	memset(s, 0, sizeof(*s));
 	s->slots = DEFAULT_SLOTS;
-	s->queue_limit = DEFAULT_QUEUE;
+	s->queue_limit = DEFAULT_QUEUE_LIMIT;
 	s->grace = MH_GRACE_S;
 	for (size_t i = 0; i < NSETTINGS; i++) {
 		strs[i] = arg_str0(
-		    NULL, settings[i].flag, "<value>", settings[i].what);
+		    NULL, settings[i].flag, "<value>", settings[i].help_text);
 		if (applies(&settings[i], kind))
 			table[n++] = strs[i];
 	}
@@ -231,11 +234,11 @@
 	if (!g_file_get_contents(file, &text, NULL, err))
 		return NULL;
 	text[strcspn(text, "\r\n")] = '\0';
-	if (strlen(text) < MIN_SECRET) {
+	if (strlen(text) < MIN_SECRET_CHARS) {
 		g_set_error(err, MH_ERROR, MH_ERR_SETTING,
 		    "%s: the secret is shorter than %d characters; "
 		    "write a longer random line",
-		    file, MIN_SECRET);
+		    file, MIN_SECRET_CHARS);
 		g_free(text);
 		return NULL;
 	}
@@ -254,11 +257,11 @@
 }
 
 static void
-log_line(void *arg, const char *part, const char *line)
+log_line(void *arg, const char *component, const char *line)
 {
 	log4c_category_t *cat = arg;
 
-	log4c_category_log(cat, LOG4C_PRIORITY_INFO, "%s: %s", part, line);
+	log4c_category_log(cat, LOG4C_PRIORITY_INFO, "%s: %s", component, line);
 }
 
 static const char *
@@ -284,17 +287,17 @@
 {
 	log4c_category_t *cat;
 	log4c_layout_t *layout;
-	log4c_appender_t *out;
+	log4c_appender_t *appender;
 
 	log4c_init();
 	log4c_layout_type_set(&layout_type);
 	layout = log4c_layout_get("marlhoist");
 	log4c_layout_set_type(layout, &layout_type);
-	out = log4c_appender_get("stderr");
-	log4c_appender_set_type(out, log4c_appender_type_get("stream"));
-	log4c_appender_set_layout(out, layout);
+	appender = log4c_appender_get("stderr");
+	log4c_appender_set_type(appender, log4c_appender_type_get("stream"));
+	log4c_appender_set_layout(appender, layout);
 	cat = log4c_category_get(program);
-	log4c_category_set_appender(cat, out);
+	log4c_category_set_appender(cat, appender);
 	log4c_category_set_additivity(cat, 0);
 	log4c_category_set_priority(
 	    cat, log4c_priority_to_int(level == NULL ? "info" : level));
--- a/lib/err.c
+++ b/lib/err.c
@@ -1,5 +1,5 @@
 /**
- * DOC: Error domain. Kinds are in enum mh_error; messages name the remedy.
+ * DOC: GError domain.  The codes are enum mh_error; messages name the remedy.
  */
 
 #include "marlhoist.h"
--- a/lib/evlog.c
+++ b/lib/evlog.c
@@ -1,9 +1,9 @@
 /**
  * DOC: Structured log: one line of key=value pairs for each decision.
  *
- * Lines are collected and written a few times a second without blocking.  A
- * rate bounds them; what was left out is counted and told in a line of its
- * own, so that a gap never looks like silence.
+ * Lines are buffered and written a few times a second without blocking.  Their
+ * rate is limited.  Dropped lines are counted and reported in a "log-gap" line,
+ * so that a gap never looks as if nothing had happened.
  */
 
 #include "gate.h"
@@ -14,24 +14,26 @@
 #include <string.h>
 #include <unistd.h>
 
-/* An entry that does the stage work of 150 requests a second writes 700 lines
- * a second; at 120 bytes each this bounds them to 108 KB/s. */
+/*
+ * An entry that does the stage work of 150 requests/s writes 700 lines/s.  At
+ * 120 bytes a line the limit is 108 KB/s.
+ */
 #define LINES_PER_S 900
 #define BURST_LINES 3000
 #define FLUSH_US (200 * MH_US_PER_MS)
-#define MAX_WAITING (256U << 10)
+#define MAX_BUFFERED_BYTES (256U << 10)
 
 struct mh_evlog {
 	struct mh_kern *k;
 	int fd;
 	GString *out;
-	double allowance;
+	double line_credit;
 	int64_t filled_us;
-	uint64_t left_out;
+	uint64_t dropped_lines;
 	struct mh_timer *timer;
 };
 
-/* Whole lines of at most @max bytes; a longer line is cut there. */
+/* Length of the whole lines in the first @max bytes; a longer line is split. */
 static size_t
 whole_lines(const GString *out, size_t max)
 {
@@ -43,8 +45,8 @@
 }
 
 /*
- * Writes of at most PIPE_BUF bytes to a pipe are whole or fail, so that a
- * reader that stalls tears no line apart.
+ * Writes of at most PIPE_BUF bytes to a pipe are atomic, so a line is never
+ * written in part when the reader stalls.
  */
 static void
 flush(struct mh_evlog *e)
@@ -59,7 +61,7 @@
 		if (n < 0 && errno == EINTR)
 			continue;
 		if (n <= 0)
-			break; /* a reader that stalls must not stall us */
+			break; /* never block on a stalled reader */
 		done += (size_t)n;
 	}
 	g_string_erase(e->out, 0, (gssize)done);
@@ -81,16 +83,16 @@
 {
 	int64_t now = mh_now(e->k);
 
-	e->allowance +=
+	e->line_credit +=
 	    (double)(now - e->filled_us) * LINES_PER_S / (double)MH_US_PER_S;
-	e->allowance = MIN(e->allowance, BURST_LINES);
+	e->line_credit = MIN(e->line_credit, BURST_LINES);
 	e->filled_us = now;
-	if (e->allowance < 1 || e->out->len > MAX_WAITING) {
-		e->left_out++;
+	if (e->line_credit < 1 || e->out->len > MAX_BUFFERED_BYTES) {
+		e->dropped_lines++;
 		mh_count(e->k, "log_lines_left_out", 1);
 		return false;
 	}
-	e->allowance -= 1;
+	e->line_credit -= 1;
 	return true;
 }
 
@@ -109,11 +111,11 @@
 
 	if (e == NULL || !allowed(e))
 		return;
-	if (e->left_out > 0) {
+	if (e->dropped_lines > 0) {
 		stamp(e, "log-gap");
 		g_string_append_printf(
-		    e->out, " lines=%" PRIu64 "\n", e->left_out);
-		e->left_out = 0;
+		    e->out, " lines=%" PRIu64 "\n", e->dropped_lines);
+		e->dropped_lines = 0;
 	}
 	stamp(e, kind);
 	g_string_append_c(e->out, ' ');
@@ -147,7 +149,7 @@
 	e->k = k;
 	e->fd = fd;
 	e->out = g_string_new(NULL);
-	e->allowance = BURST_LINES;
+	e->line_credit = BURST_LINES;
 	e->filled_us = mh_now(k);
 	mh_kern_add(k, "evlog", e, NULL, destroy);
 }
--- a/lib/gate.h
+++ b/lib/gate.h
@@ -17,22 +17,23 @@
 	return us / (int64_t)MH_US_PER_MS;
 }
 
-/* evlog.c: one line for each decision, bounded, to standard output */
+/* evlog.c: structured log, one line for each decision */
 
 struct mh_evlog;
 
-/** mh_evlog_create() - owned by the kernel as service "evlog". */
+/** mh_evlog_create() - adds service "evlog", which writes lines to @fd. */
 void mh_evlog_create(struct mh_kern *k, int fd);
-/** mh_event() - a line "ev=@kind ..."; dropped and counted over the rate. */
+/** mh_event() - logs "ev=@kind ..."; drops and counts lines above the rate. */
 void mh_event(struct mh_kern *k, const char *kind, const char *fmt, ...)
     G_GNUC_PRINTF(3, 4);
 
 /* meter.c: latency histograms */
 
-/** mh_meter_create() - owned by the kernel as service "meter". */
+/** mh_meter_create() - adds service "meter", which the kernel owns. */
 void mh_meter_create(struct mh_kern *k);
+/** mh_observe() - adds @us to histogram @name, if there is a meter. */
 void mh_observe(struct mh_kern *k, const char *name, int64_t us);
-/** mh_meter_text() - every histogram as Prometheus text. */
+/** mh_meter_text() - all histograms as Prometheus text; g_free() it. */
 char *mh_meter_text(struct mh_kern *k);
 
 /* gconf.c: what operators declare, as the gate uses it */
--- a/lib/hist.c
+++ b/lib/hist.c
@@ -1,17 +1,17 @@
 /**
- * DOC: Log-linear histogram: 32 buckets for each power of two, so a value
- * is known within 1/32.
+ * DOC: Log-linear histogram: 32 buckets for each power of two, so that values
+ * are accurate to 1/32.
  */
 
 #include "marlhoist.h"
 
 #define SUB_BITS 5
-#define SUB (1 << SUB_BITS)
+#define SUB_BUCKETS (1 << SUB_BITS)
 #define POWERS 40
 
 struct mh_hist {
 	uint64_t count;
-	uint64_t bucket[POWERS * SUB];
+	uint64_t bucket[POWERS * SUB_BUCKETS];
 };
 
 struct mh_hist *
@@ -27,50 +27,51 @@
 }
 
 static int
-bucket_of(uint64_t v)
+bucket_index(uint64_t v)
 {
 	int shift;
 
-	if (v < SUB)
+	if (v < SUB_BUCKETS)
 		return (int)v;
 	shift = 63 - __builtin_clzll(v) - SUB_BITS;
 	if (shift >= POWERS - 1)
-		return POWERS * SUB - 1;
-	return (shift + 1) * SUB + (int)((v >> shift) - SUB);
+		return POWERS * SUB_BUCKETS - 1;
+	return (shift + 1) * SUB_BUCKETS + (int)((v >> shift) - SUB_BUCKETS);
 }
 
 static int64_t
-value_of(int bucket)
+bucket_value(int bucket)
 {
-	int shift = bucket / SUB - 1;
+	int shift = bucket / SUB_BUCKETS - 1;
 
 	if (shift < 0)
 		return bucket;
-	return (int64_t)((uint64_t)(bucket % SUB + SUB) << shift);
+	return (
+	    int64_t)((uint64_t)(bucket % SUB_BUCKETS + SUB_BUCKETS) << shift);
 }
 
 void
 mh_hist_add(struct mh_hist *h, int64_t value_us)
 {
 	h->count++;
-	h->bucket[bucket_of((uint64_t)MAX(value_us, 0))]++;
+	h->bucket[bucket_index((uint64_t)MAX(value_us, 0))]++;
 }
 
 int64_t
 mh_hist_at(const struct mh_hist *h, double q)
 {
-	uint64_t want = (uint64_t)(q * (double)h->count), seen = 0;
+	uint64_t rank = (uint64_t)(q * (double)h->count), cumulative = 0;
 
 	if (h->count == 0)
 		return 0;
-	if (want >= h->count)
-		want = h->count - 1;
-	for (int i = 0; i < POWERS * SUB; i++) {
-		seen += h->bucket[i];
-		if (seen > want)
-			return value_of(i);
+	if (rank >= h->count)
+		rank = h->count - 1;
+	for (int i = 0; i < POWERS * SUB_BUCKETS; i++) {
+		cumulative += h->bucket[i];
+		if (cumulative > rank)
+			return bucket_value(i);
 	}
-	return value_of(POWERS * SUB - 1);
+	return bucket_value(POWERS * SUB_BUCKETS - 1);
 }
 
 uint64_t
--- a/lib/httpd.c
+++ b/lib/httpd.c
@@ -1,7 +1,7 @@
 /**
- * DOC: HTTP server: libmicrohttpd hung on the loop, one thread.
+ * DOC: HTTP server: libmicrohttpd driven by the event loop, single-threaded.
  *
- * A request that waits for its answer is suspended and holds no thread.
+ * A request that waits for its response is suspended and occupies no thread.
  */
 
 #include "marlhoist.h"
@@ -13,13 +13,13 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-#define GONE_CHECK_US (200 * MH_US_PER_MS)
-#define CONNECTIONS 4096U
-#define IDLE_S 60U
-#define BLOCK 65536
-#define TURNS 4 /* of the library in a row: a handler may wake others */
+#define DISCONNECT_CHECK_US (200 * MH_US_PER_MS)
+#define MAX_CONNECTIONS 4096U
+#define IDLE_TIMEOUT_S 60U
+#define BLOCK_BYTES 65536
+#define MAX_RUNS 4 /* of MHD_run() in a row: a handler may wake requests */
 
-enum phase { READING, WAITING, READY, STREAMING, QUEUED, CUT };
+enum phase { READING, WAITING, READY, STREAMING, QUEUED, ABORTED };
 
 struct header {
 	char *name;
@@ -33,19 +33,19 @@
 	enum phase phase;
 	bool suspended;
 	bool too_big;
-	bool told; /* the owner knows of it */
-	bool cut; /* drop the connection after what is in out */
-	bool ended; /* the owner gave the last part */
+	bool reported; /* on_request() was called */
+	bool abort_after_out; /* abort the connection once out is sent */
+	bool ended; /* the last part of the response was given */
 	char *method;
 	char *path;
 	GByteArray *in;
 	GBytes *body;
-	GArray *headers; /* of the answer */
+	GArray *headers; /* of the response */
 	uint32_t status;
 	char *type;
-	GBytes *answer;
-	GByteArray *out; /* parts of a stream not yet sent */
-	bool stream_waits; /* the reader found nothing and was suspended */
+	GBytes *response_body;
+	GByteArray *out; /* unsent data of a stream */
+	bool stream_waiting; /* suspended until the stream has data */
 };
 
 struct mh_httpd {
@@ -54,14 +54,14 @@
 	struct MHD_Daemon *daemon;
 	struct mh_httpd_args a;
 	GHashTable *reqs; /* id -> struct mh_http_req */
-	struct mh_timer *gone;
+	struct mh_timer *disconnect_timer;
 	char *cert;
 	char *key;
 	int epoll_fd;
 	uint16_t port;
-	bool kick; /* MHD has something to do this turn */
+	bool run_pending; /* MHD_run() has work to do */
 	bool stopping;
-	bool closing; /* nothing is taken any more */
+	bool closing; /* new requests are refused */
 };
 
 const char *
@@ -144,7 +144,7 @@
 	if (!r->suspended)
 		return;
 	r->suspended = false;
-	r->h->kick = true;
+	r->h->run_pending = true;
 	MHD_resume_connection(r->conn);
 }
 
@@ -168,7 +168,7 @@
 }
 
 static void
-set_answer(struct mh_http_req *r, uint32_t status, const char *type)
+set_response(struct mh_http_req *r, uint32_t status, const char *type)
 {
 	r->status = status;
 	g_free(r->type);
@@ -181,8 +181,9 @@
 {
 	if (r->phase != WAITING)
 		return;
-	set_answer(r, status, type);
-	r->answer = body == NULL ? g_bytes_new(NULL, 0) : g_bytes_ref(body);
+	set_response(r, status, type);
+	r->response_body =
+	    body == NULL ? g_bytes_new(NULL, 0) : g_bytes_ref(body);
 	r->phase = READY;
 	r->ended = true;
 	wake(r);
@@ -193,7 +194,7 @@
 {
 	if (r->phase != WAITING)
 		return;
-	set_answer(r, status, type);
+	set_response(r, status, type);
 	r->out = g_byte_array_new();
 	r->phase = STREAMING;
 	wake(r);
@@ -202,8 +203,8 @@
 static void
 wake_stream(struct mh_http_req *r)
 {
-	if (r->stream_waits) {
-		r->stream_waits = false;
+	if (r->stream_waiting) {
+		r->stream_waiting = false;
 		wake(r);
 	}
 }
@@ -230,13 +231,13 @@
 void
 mh_req_cut(struct mh_http_req *r)
 {
-	/* What a stream already holds still goes out before the cut. */
+	/* Buffered data of a stream is sent before the connection is closed. */
 	if (r->phase == STREAMING)
-		r->cut = true;
+		r->abort_after_out = true;
 	else
-		r->phase = CUT;
+		r->phase = ABORTED;
 	r->ended = true;
-	r->stream_waits = false;
+	r->stream_waiting = false;
 	wake(r);
 }
 
@@ -253,18 +254,18 @@
 		g_byte_array_remove_range(r->out, 0, (guint)n);
 		return (ssize_t)n;
 	}
-	if (r->cut)
+	if (r->abort_after_out)
 		return MHD_CONTENT_READER_END_WITH_ERROR;
 	if (r->ended)
 		return MHD_CONTENT_READER_END_OF_STREAM;
-	r->stream_waits = true;
+	r->stream_waiting = true;
 	r->suspended = true;
 	MHD_suspend_connection(r->conn);
 	return 0;
 }
 
 static enum MHD_Result
-queue(struct mh_http_req *r)
+queue_response(struct mh_http_req *r)
 {
 	struct MHD_Response *res;
 	enum MHD_Result rv;
@@ -273,9 +274,9 @@
 
 	if (r->phase == STREAMING) {
 		res = MHD_create_response_from_callback(
-		    MHD_SIZE_UNKNOWN, BLOCK, read_stream, r, NULL);
+		    MHD_SIZE_UNKNOWN, BLOCK_BYTES, read_stream, r, NULL);
 	} else {
-		data = g_bytes_get_data(r->answer, &len);
+		data = g_bytes_get_data(r->response_body, &len);
 		res = MHD_create_response_from_buffer(len,
 		    (void *)(uintptr_t)(data == NULL ? "" : data),
 		    MHD_RESPMEM_MUST_COPY);
@@ -314,9 +315,9 @@
 }
 
 /*
- * A request that is read while the server closes has nobody left to answer it.
- * Handed on all the same it left its caller without a status, and, suspended,
- * made MHD_stop_daemon() abort the process.  It is answered here instead.
+ * While the server closes, no service is left to respond to a new request.  If
+ * it were passed to on_request(), its caller would get no status, and if it
+ * were suspended, MHD_stop_daemon() would abort the process.
  */
 static enum MHD_Result
 refuse(struct MHD_Connection *conn)
@@ -362,7 +363,7 @@
 		r->phase = WAITING;
 		r->body = g_byte_array_free_to_bytes(r->in);
 		r->in = NULL;
-		r->told = true;
+		r->reported = true;
 		h->a.on_request(h->a.arg, r);
 		if (r->phase == WAITING) {
 			r->suspended = true;
@@ -371,8 +372,8 @@
 		}
 	}
 	if (r->phase == READY || r->phase == STREAMING)
-		return queue(r);
-	return r->phase == CUT ? MHD_NO : MHD_YES;
+		return queue_response(r);
+	return r->phase == ABORTED ? MHD_NO : MHD_YES;
 }
 
 static void
@@ -393,8 +394,8 @@
 		g_byte_array_unref(r->out);
 	if (r->body != NULL)
 		g_bytes_unref(r->body);
-	if (r->answer != NULL)
-		g_bytes_unref(r->answer);
+	if (r->response_body != NULL)
+		g_bytes_unref(r->response_body);
 	g_free(r->method);
 	g_free(r->path);
 	g_free(r->type);
@@ -412,15 +413,15 @@
 	(void)code;
 	if (r == NULL)
 		return;
-	if (r->told && !r->ended && h->a.on_gone != NULL)
+	if (r->reported && !r->ended && h->a.on_gone != NULL)
 		h->a.on_gone(h->a.arg, r);
 	*ctx = NULL;
 	free_req(r);
 }
 
 /*
- * A suspended connection is not polled, so a caller that left would go
- * unseen and its work would run on: peek at the waiting sockets.
+ * A suspended connection is not polled.  Without this check the work of a
+ * caller that disconnected would go on.
  */
 static bool
 caller_left(const struct mh_http_req *r)
@@ -434,29 +435,30 @@
 }
 
 static void
-check_gone(void *arg)
+check_disconnects(void *arg)
 {
 	struct mh_httpd *h = arg;
-	GPtrArray *left = g_ptr_array_new();
+	GPtrArray *disconnected = g_ptr_array_new();
 	GHashTableIter it;
 	gpointer v;
 
-	h->gone = mh_timer_start(h->k, GONE_CHECK_US, check_gone, h);
+	h->disconnect_timer =
+	    mh_timer_start(h->k, DISCONNECT_CHECK_US, check_disconnects, h);
 	g_hash_table_iter_init(&it, h->reqs);
 	while (g_hash_table_iter_next(&it, NULL, &v)) {
 		struct mh_http_req *r = v;
 
 		if (r->suspended && caller_left(r))
-			g_ptr_array_add(left, r);
+			g_ptr_array_add(disconnected, r);
 	}
-	for (guint i = 0; i < left->len; i++) {
-		struct mh_http_req *r = left->pdata[i];
+	for (guint i = 0; i < disconnected->len; i++) {
+		struct mh_http_req *r = disconnected->pdata[i];
 
-		if (r->told && !r->ended && h->a.on_gone != NULL)
+		if (r->reported && !r->ended && h->a.on_gone != NULL)
 			h->a.on_gone(h->a.arg, r);
 		mh_req_cut(r);
 	}
-	g_ptr_array_free(left, TRUE);
+	g_ptr_array_free(disconnected, TRUE);
 }
 
 static void
@@ -466,7 +468,7 @@
 
 	(void)readable;
 	(void)writable;
-	h->kick = true;
+	h->run_pending = true;
 }
 
 static int64_t
@@ -477,17 +479,17 @@
 
 	if (h->daemon == NULL)
 		return -1;
-	for (int i = 0; h->kick && i < TURNS; i++) {
-		h->kick = false;
+	for (int i = 0; h->run_pending && i < MAX_RUNS; i++) {
+		h->run_pending = false;
 		MHD_run(h->daemon);
 	}
-	if (h->kick)
+	if (h->run_pending)
 		return 0;
 	if (mh_kern_next(h->k) == mh_now(h->k))
 		return 0;
 	if (MHD_get_timeout(h->daemon, &ms) != MHD_YES)
 		return -1;
-	h->kick = true;
+	h->run_pending = true;
 	return (int64_t)ms * MH_US_PER_MS;
 }
 
@@ -504,7 +506,7 @@
 	ok = ok && inet_pton(AF_INET, host, &sa->sin_addr) == 1;
 	if (!ok)
 		g_set_error(err, MH_ERROR, MH_ERR_SETTING,
-		    "\"%s\" is no IP:PORT: write for example 127.0.0.1:8080",
+		    "\"%s\" is not IP:PORT: give for example 127.0.0.1:8080",
 		    listen);
 	return ok;
 }
@@ -535,8 +537,8 @@
 	h->daemon = MHD_start_daemon(flags, 0, NULL, NULL, on_access, h,
 	    MHD_OPTION_SOCK_ADDR, (struct sockaddr *)sa,
 	    MHD_OPTION_NOTIFY_COMPLETED, on_completed, h,
-	    MHD_OPTION_CONNECTION_LIMIT, CONNECTIONS,
-	    MHD_OPTION_CONNECTION_TIMEOUT, IDLE_S,
+	    MHD_OPTION_CONNECTION_LIMIT, MAX_CONNECTIONS,
+	    MHD_OPTION_CONNECTION_TIMEOUT, IDLE_TIMEOUT_S,
 	    MHD_OPTION_LISTENING_ADDRESS_REUSE, 1U, MHD_OPTION_ARRAY, tls,
 	    MHD_OPTION_END);
 	if (h->daemon == NULL) {
@@ -571,15 +573,16 @@
 	}
 	mh_loop_fd(loop, h->epoll_fd, true, false, on_ready, h);
 	mh_loop_before(loop, before_wait, h);
-	h->gone = mh_timer_start(h->k, GONE_CHECK_US, check_gone, h);
+	h->disconnect_timer =
+	    mh_timer_start(h->k, DISCONNECT_CHECK_US, check_disconnects, h);
 	return h;
 }
 
 /*
- * Closing the listening socket resets every connection that the kernel holds
- * for us, with the request that may be in it, and its caller can't tell
- * whether that ran.  They are few, and each turn accepts one at least;
- * what is over CONNECTIONS is reset as before.
+ * Closing the listening socket resets the connections in its backlog, and a
+ * caller that has already sent a request can't tell whether it was executed.
+ * So the backlog is accepted first.  It is short, and each MHD_run() accepts at
+ * least one connection; connections beyond MAX_CONNECTIONS are still reset.
  */
 static void
 accept_waiting(struct mh_httpd *h)
@@ -588,9 +591,9 @@
 	    MHD_get_daemon_info(h->daemon, MHD_DAEMON_INFO_LISTEN_FD);
 	struct pollfd p = { .fd = info->listen_fd, .events = POLLIN };
 
-	for (uint32_t i = 0; i < CONNECTIONS && poll(&p, 1, 0) == 1; i++)
+	for (uint32_t i = 0; i < MAX_CONNECTIONS && poll(&p, 1, 0) == 1; i++)
 		MHD_run(h->daemon);
-	h->kick = true;
+	h->run_pending = true;
 }
 
 void
@@ -619,7 +622,7 @@
 	h->closing = true;
 }
 
-/* The loop keeps the hook: it finds the daemon gone and does nothing. */
+/* The loop keeps before_wait(), which does nothing once daemon is NULL. */
 void
 mh_httpd_destroy(struct mh_httpd *h)
 {
@@ -627,19 +630,19 @@
 
 	if (h == NULL)
 		return;
-	mh_timer_stop(h->k, &h->gone);
+	mh_timer_stop(h->k, &h->disconnect_timer);
 	mh_httpd_close(h);
 	all = g_hash_table_get_values(h->reqs);
 	for (GList *n = all; n != NULL; n = n->next) {
 		struct mh_http_req *r = n->data;
 
-		r->told = false;
+		r->reported = false;
 		mh_req_cut(r);
 	}
 	g_list_free(all);
 	if (h->daemon != NULL) {
 		mh_loop_fd_close(h->loop, h->epoll_fd);
-		for (int i = 0; i < TURNS; i++)
+		for (int i = 0; i < MAX_RUNS; i++)
 			MHD_run(h->daemon);
 		MHD_stop_daemon(h->daemon);
 		h->daemon = NULL;
--- a/lib/kern.c
+++ b/lib/kern.c
@@ -53,7 +53,7 @@
 	return 0;
 }
 
-/* libbsd marks the functions that are not called with this. */
+/* <sys/tree.h> of libbsd marks the generated functions with this. */
 #ifndef __unused
 #define __unused __attribute__((unused))
 #endif
@@ -248,7 +248,7 @@
 {
 	struct mh_timer *t;
 
-	/* Time never runs backwards, whatever the caller's clock did. */
+	/* Time never goes backwards, even if the caller's clock does. */
 	if (now_us > k->now_us)
 		k->now_us = now_us;
 	k->wall_us = wall_us;
@@ -259,7 +259,7 @@
 		void *arg = t->arg;
 
 		RB_REMOVE(timer_tree, &k->timers, t);
-		/* The owner still holds the pointer: see mh_timer_stop(). */
+		/* The owner's pointer is stale now: see mh_timer_start(). */
 		t->fn = NULL;
 		g_free(t);
 		fn(arg);
@@ -310,8 +310,8 @@
 }
 
 /*
- * The callback must clear its own pointer to the timer first: the timer is
- * freed before it is called.
+ * The timer is freed before @fn is called, so @fn must first clear the owner's
+ * pointer to it.
  */
 struct mh_timer *
 mh_timer_start(struct mh_kern *k, int64_t delay_us, mh_timer_fn fn, void *arg)
@@ -344,7 +344,7 @@
 }
 
 void
-mh_log(struct mh_kern *k, const char *part, const char *fmt, ...)
+mh_log(struct mh_kern *k, const char *component, const char *fmt, ...)
 {
 	va_list ap;
 	char *line;
@@ -354,7 +354,7 @@
 	va_start(ap, fmt);
 	line = g_strdup_vprintf(fmt, ap);
 	va_end(ap);
-	k->log(k->log_arg, part, line);
+	k->log(k->log_arg, component, line);
 	g_free(line);
 }
 
@@ -465,7 +465,7 @@
 
 struct mh_vm *
 mh_vm_new(const char *id, const char *addr, const char *role, const char *pool,
-    const char *domain, bool leaving)
+    const char *domain, bool draining)
 {
 	struct mh_vm *vm = g_new0(struct mh_vm, 1);
 
@@ -474,7 +474,7 @@
 	vm->role = g_strdup(role);
 	vm->pool = g_strdup(pool);
 	vm->domain = g_strdup(domain);
-	vm->leaving = leaving;
+	vm->leaving = draining;
 	return vm;
 }
 
--- a/lib/loop.c
+++ b/lib/loop.c
@@ -1,8 +1,9 @@
 /**
- * DOC: One APR pollset that drives a kernel in real time.
+ * DOC: Event loop: one APR pollset that drives a kernel in real time.
  *
- * A timerfd in the pollset carries the nearest deadline: apr_pollset_poll()
- * cuts its wait to whole milliseconds, so a wait below one would spin.
+ * A timerfd in the pollset wakes the loop at the next deadline:
+ * apr_pollset_poll() truncates its timeout to whole milliseconds, so that the
+ * loop would spin for a wait of less than 1 ms.
  */
 
 #include "gate.h"
@@ -17,8 +18,8 @@
 #include <unistd.h>
 
 #define POLL_MAX 4096
-/* A turn that takes longer is told: nothing else runs meanwhile. */
-#define SLOW_TURN_US (250 * MH_US_PER_MS)
+/* Iterations that take this long are logged: they delay everything else. */
+#define SLOW_ITERATION_US (250 * MH_US_PER_MS)
 
 struct watch {
 	int fd;
@@ -52,7 +53,7 @@
 	int timer_fd;
 	int signal_fd;
 	int64_t armed_us;
-	int64_t polled_us; /* when this turn began; 0: before the first */
+	int64_t iteration_start_us; /* 0: no iteration has begun */
 	bool stop;
 };
 
@@ -253,18 +254,18 @@
 	timerfd_settime(l->timer_fd, TFD_TIMER_ABSTIME, &it, NULL);
 }
 
-/* Whatever came meanwhile has waited for it: beats and callers as well. */
+/* A slow iteration delays all events, heartbeats and requests included. */
 static void
-tell_slow(struct mh_loop *l)
+log_slow_iteration(struct mh_loop *l)
 {
-	int64_t took_us = clock_us(CLOCK_MONOTONIC) - l->polled_us;
+	int64_t took_us = clock_us(CLOCK_MONOTONIC) - l->iteration_start_us;
 
-	if (l->polled_us != 0 && took_us >= SLOW_TURN_US)
+	if (l->iteration_start_us != 0 && took_us >= SLOW_ITERATION_US)
 		mh_event(l->k, "slow-turn", "took_ms=%" PRId64, mh_ms(took_us));
 }
 
 static void
-turn(struct mh_loop *l)
+run_iteration(struct mh_loop *l)
 {
 	int64_t next, bound = -1;
 	const apr_pollfd_t *ev = NULL;
@@ -272,7 +273,7 @@
 
 	mh_kern_advance(
 	    l->k, clock_us(CLOCK_MONOTONIC), clock_us(CLOCK_REALTIME));
-	if (l->stop) /* a hook may read, too */
+	if (l->stop) /* hooks may read requests, too */
 		return;
 	for (guint i = 0; i < l->hooks->len; i++) {
 		struct hook *h = &g_array_index(l->hooks, struct hook, i);
@@ -288,15 +289,15 @@
 	arm(l, next);
 	if (l->stop)
 		return;
-	tell_slow(l);
+	log_slow_iteration(l);
 	if (apr_pollset_poll(l->set, -1, &n, &ev) != APR_SUCCESS)
 		return;
-	l->polled_us = clock_us(CLOCK_MONOTONIC);
+	l->iteration_start_us = clock_us(CLOCK_MONOTONIC);
 	mh_kern_advance(
 	    l->k, clock_us(CLOCK_MONOTONIC), clock_us(CLOCK_REALTIME));
 	/*
-	 * Who stops the loop counts on nothing else to happen: a request that
-	 * is read after that is sent on, and its caller gets no answer.
+	 * No event is handled after mh_loop_stop(): a request that is read then
+	 * would be forwarded, but its caller would get no response.
 	 */
 	for (apr_int32_t i = 0; i < n && !l->stop; i++) {
 		/* An earlier callback may have closed this descriptor. */
@@ -316,7 +317,7 @@
 {
 	l->stop = false;
 	while (!l->stop)
-		turn(l);
+		run_iteration(l);
 }
 
 void
--- a/lib/marlhoist.h
+++ b/lib/marlhoist.h
@@ -31,16 +31,14 @@
 
 /* err.c */
 
-/**
- * enum mh_error - typed error kinds; each message names the remedy.
- */
+/** enum mh_error - GError codes; each message names the remedy. */
 enum mh_error {
 	MH_ERR_SETTING, /* a flag or environment variable is wrong */
 	MH_ERR_DECL, /* the declaration document is wrong */
 	MH_ERR_IO, /* a socket or file failed */
 	MH_ERR_WIRE, /* a frame is malformed */
-	MH_ERR_KV, /* the key-value service failed or is out */
-	MH_ERR_LOST_RACE, /* somebody else wrote first */
+	MH_ERR_KV, /* the KV service failed or is unreachable */
+	MH_ERR_LOST_RACE, /* another process wrote first */
 	MH_ERR_REQUEST /* a caller's request is wrong */
 };
 #define MH_ERROR (mh_error_quark())
@@ -63,26 +61,26 @@
 	MH_MSG_LINK_CLOSE, /* to link */
 	MH_MSG_LINK_UP, /* from link: handshake done */
 	MH_MSG_LINK_DOWN, /* from link: closed or never opened */
-	MH_MSG_LINK_HEARD, /* from link: part of a large frame has come */
+	MH_MSG_LINK_HEARD, /* from link: part of a large frame was received */
 	MH_MSG_FRAME, /* from link: one packed frame */
 	MH_MSG_REQUEST, /* from http: a caller's request */
-	MH_MSG_REPLY, /* to http: part of an answer */
-	MH_MSG_GONE, /* from http: the caller left */
+	MH_MSG_REPLY, /* to http: a response or part of a stream */
+	MH_MSG_GONE, /* from http: the caller disconnected */
 	MH_MSG_RUN, /* to endpoint: run one call */
 	MH_MSG_RUN_ABORT, /* to endpoint */
-	MH_MSG_RUN_CHUNK, /* from endpoint: a piece of a stream */
+	MH_MSG_RUN_CHUNK, /* from endpoint: part of a stream */
 	MH_MSG_RAN, /* from endpoint: the call ended */
 	MH_MSG_KV, /* to kv: one operation */
-	MH_MSG_KV_DONE, /* from kv */
-	MH_MSG_VMLIST, /* from vmlist: one reading */
-	MH_MSG_VMLIST_ASK /* to vmlist: read once */
+	MH_MSG_KV_DONE, /* from kv: the result */
+	MH_MSG_VMLIST, /* from vmlist: the list, or that the read failed */
+	MH_MSG_VMLIST_ASK /* to vmlist: read the list once */
 };
 
-/** struct mh_link_msg - everything between a decision service and link. */
+/** struct mh_link_msg - any message to or from the link service. */
 struct mh_link_msg {
 	uint64_t conn;
 	char *addr; /* ip:port, on DIAL and UP */
-	char *vm; /* the peer, on UP */
+	char *vm; /* on UP: the peer's, as domain to incarnation */
 	char *domain;
 	char *role;
 	char *pool;
@@ -91,20 +89,20 @@
 	GBytes *frame;
 };
 
-/** struct mh_request_msg - a caller's request as the http service read it. */
+/** struct mh_request_msg - a caller's request as the http service parsed it. */
 struct mh_request_msg {
-	uint64_t id; /* names the waiting caller */
+	uint64_t id; /* of the waiting caller, for mh_reply_msg */
 	char *method;
 	char *path;
 	char *key; /* bearer key or NULL */
 	char *idempotency_key;
-	char *class_asked;
+	char *class_asked; /* NULL: not given */
 	int64_t deadline_us; /* 0: not given */
 	GHashTable *labels;
 	GBytes *body;
 };
 
-/** struct mh_reply_msg - one part of an answer to a waiting caller. */
+/** struct mh_reply_msg - a response, or part of one, to a waiting caller. */
 struct mh_reply_msg {
 	uint64_t id;
 	uint32_t status;
@@ -114,7 +112,7 @@
 	GBytes *body;
 };
 
-/** struct mh_run_msg - one call to the endpoint beside a side process. */
+/** struct mh_run_msg - one call to the endpoint of a side process. */
 struct mh_run_msg {
 	uint64_t run;
 	enum {
@@ -131,11 +129,11 @@
 	bool stream;
 	int64_t timeout_us;
 	GBytes *body;
-	/* below: from the endpoint */
-	uint32_t status; /* HTTP status, 0 when none came */
-	bool sent; /* false: certainly never reached the endpoint */
-	bool whole; /* the end mark was seen */
-	bool broke; /* the endpoint closed in the middle of the call */
+	/* below: set by the endpoint service */
+	uint32_t status; /* HTTP status, 0: no response */
+	bool sent; /* false: the endpoint certainly got nothing */
+	bool whole; /* complete response; a stream had its end mark */
+	bool broke; /* the connection failed during the call */
 	uint64_t tokens_in;
 	uint64_t tokens_cached;
 	uint64_t tokens_out;
@@ -146,29 +144,29 @@
 /** struct mh_kv_msg - one operation on the platform's KV service. */
 struct mh_kv_msg {
 	enum mh_kv_op op;
-	uint64_t token; /* the asker's own */
-	char *from; /* service to answer */
+	uint64_t token; /* chosen by the requester */
+	char *from; /* service that gets the result */
 	char *name; /* key in the KV */
-	uint64_t index; /* what a watch has seen */
+	uint64_t index; /* last modify index that a watch returned */
 	uint64_t cas; /* PUT: expected modify index, 0 creates */
 	int64_t wait_us; /* longest wait of a watch */
 	GBytes *value;
-	/* below: the answer */
-	bool ok; /* an answer came */
+	/* below: the result */
+	bool ok; /* the KV service gave a valid response */
 	bool found; /* GET, WATCH: the name exists; PUT: it was written */
 };
 
-/** struct mh_vm - one line of the platform's VM list. */
+/** struct mh_vm - one VM of the platform's VM list. */
 struct mh_vm {
 	char *id;
-	char *addr; /* ip:port of our process there */
+	char *addr; /* ip:port of our process on the VM */
 	char *role; /* entry or side */
 	char *pool;
 	char *domain;
-	bool leaving;
+	bool leaving; /* takes no new work */
 };
 
-/** struct mh_vmlist_msg - one reading of the VM list; ok false: none came. */
+/** struct mh_vmlist_msg - result of reading the VM list; ok: it succeeded. */
 struct mh_vmlist_msg {
 	bool ok;
 	GPtrArray *vms; /* struct mh_vm, owned */
@@ -192,24 +190,27 @@
 typedef void (*mh_handle_fn)(void *self, struct mh_msg *msg);
 typedef void (*mh_free_fn)(void *self);
 typedef void (*mh_timer_fn)(void *arg);
-typedef void (*mh_log_fn)(void *arg, const char *part, const char *line);
+typedef void (*mh_log_fn)(void *arg, const char *component, const char *line);
 
-/** mh_kern_create() - a kernel with no services, its clock at zero. */
+/** mh_kern_create() - creates a kernel without services; its clocks are 0. */
 struct mh_kern *mh_kern_create(uint32_t seed);
-/** mh_kern_destroy() - frees services in reverse order, timers, messages. */
+/**
+ * mh_kern_destroy() - destroys the services, the last one added first, then
+ * the pending messages and timers.
+ */
 void mh_kern_destroy(struct mh_kern *k);
-/** mh_kern_add() - registers a service; the kernel frees @self. */
+/** mh_kern_add() - registers a service; @destroy, unless NULL, frees @self. */
 void mh_kern_add(struct mh_kern *k, const char *name, void *self,
     mh_handle_fn handle, mh_free_fn destroy);
-/** mh_kern_get() - the service of that name, or NULL. */
+/** mh_kern_get() - @self of the named service, or NULL. */
 void *mh_kern_get(struct mh_kern *k, const char *name);
-/** mh_kern_advance() - sets both clocks, fires what is due, drains. */
+/** mh_kern_advance() - sets the clocks, delivers messages, runs due timers. */
 void mh_kern_advance(struct mh_kern *k, int64_t now_us, int64_t wall_us);
-/** mh_kern_next() - when the next timer is due, -1 for none. */
+/** mh_kern_next() - time of the next message or timer, us; -1: none. */
 int64_t mh_kern_next(struct mh_kern *k);
-/** mh_now() - monotonic time, microseconds. */
+/** mh_now() - monotonic time in microseconds. */
 int64_t mh_now(struct mh_kern *k);
-/** mh_wall() - time since 1970, microseconds; never used for deadlines. */
+/** mh_wall() - Unix time in microseconds; never used for deadlines. */
 int64_t mh_wall(struct mh_kern *k);
 uint64_t mh_next_id(struct mh_kern *k);
 uint64_t mh_random(struct mh_kern *k);
@@ -217,35 +218,38 @@
 double mh_random_unit(struct mh_kern *k);
 struct mh_msg *mh_msg_new(enum mh_msg_kind kind);
 void mh_msg_free(struct mh_msg *msg);
-/** mh_post() - queues @msg for the named service, which frees nothing. */
+/**
+ * mh_post() - queues @msg for the service @to.  The kernel frees @msg after the
+ * service has handled it, or at once if there is no such service.
+ */
 void mh_post(struct mh_kern *k, const char *to, struct mh_msg *msg);
 struct mh_timer *mh_timer_start(
     struct mh_kern *k, int64_t delay_us, mh_timer_fn fn, void *arg);
-/** mh_timer_stop() - cancels *@t if set and clears it. */
+/** mh_timer_stop() - cancels *@t and sets it to NULL; *@t may be NULL. */
 void mh_timer_stop(struct mh_kern *k, struct mh_timer **t);
-void mh_log(struct mh_kern *k, const char *part, const char *fmt, ...)
+void mh_log(struct mh_kern *k, const char *component, const char *fmt, ...)
     G_GNUC_PRINTF(3, 4);
 void mh_kern_set_log(struct mh_kern *k, mh_log_fn fn, void *arg);
 /** mh_count() - adds @n to the named counter. */
 void mh_count(struct mh_kern *k, const char *name, uint64_t n);
 uint64_t mh_counter(struct mh_kern *k, const char *name);
-/** mh_kern_metrics() - every counter as Prometheus text. */
+/** mh_kern_metrics() - all counters as Prometheus text; g_free() it. */
 char *mh_kern_metrics(struct mh_kern *k);
-/** mh_kern_counters() - every counter as a JSON object. */
+/** mh_kern_counters() - all counters as a new JSON object. */
 json_t *mh_kern_counters(struct mh_kern *k);
-/** mh_uuid7() - a time-ordered id from the kernel's clock and random. */
+/** mh_uuid7() - a version 7 UUID from the kernel's clock and random numbers. */
 void mh_uuid7(struct mh_kern *k, uint8_t id[MH_ID_LEN]);
 char *mh_uuid_text(const uint8_t id[MH_ID_LEN]);
-/** mh_uuid7_ms() - the time in a version 7 text id, -1 for other keys. */
+/** mh_uuid7_ms() - Unix time in ms of a version 7 UUID, -1 for other text. */
 int64_t mh_uuid7_ms(const char *text);
 struct mh_vm *mh_vm_new(const char *id, const char *addr, const char *role,
-    const char *pool, const char *domain, bool leaving);
+    const char *pool, const char *domain, bool draining);
 void mh_vm_free(struct mh_vm *vm);
 
 /* hist.c */
 
 struct mh_hist;
-/** mh_hist_create() - log-linear buckets, 3% wide, 1 us to 5 min. */
+/** mh_hist_create() - log-linear buckets, 3% wide, 1 us to 5 min and more. */
 struct mh_hist *mh_hist_create(void);
 void mh_hist_destroy(struct mh_hist *h);
 void mh_hist_add(struct mh_hist *h, int64_t value_us);
@@ -1024,19 +1028,24 @@
 struct mh_loop;
 typedef void (*mh_fd_fn)(void *arg, bool readable, bool writable);
 
-/** mh_loop_create() - one APR pollset driving @k in real time. */
+/** mh_loop_create() - an event loop that drives @k in real time. */
 struct mh_loop *mh_loop_create(struct mh_kern *k, GError **err);
 void mh_loop_destroy(struct mh_loop *l);
+/** mh_loop_fd() - calls @fn when @fd is readable or writable, as chosen. */
 void mh_loop_fd(
     struct mh_loop *l, int fd, bool read, bool write, mh_fd_fn fn, void *arg);
+/** mh_loop_fd_close() - stops watching @fd and leaves it open. */
 void mh_loop_fd_close(struct mh_loop *l, int fd);
-/** mh_loop_before() - called before each wait; returns a bound in us or -1. */
+/**
+ * mh_loop_before() - calls @fn before each wait.  @fn returns the longest time
+ * to wait in microseconds, -1: no limit.
+ */
 void mh_loop_before(struct mh_loop *l, int64_t (*fn)(void *arg), void *arg);
-/** mh_loop_run() - until mh_loop_stop(). */
+/** mh_loop_run() - handles events until mh_loop_stop(). */
 void mh_loop_run(struct mh_loop *l);
 void mh_loop_stop(struct mh_loop *l);
 struct mh_kern *mh_loop_kern(struct mh_loop *l);
-/** mh_loop_signal() - calls @fn in the loop after signal @sig. */
+/** mh_loop_signal() - calls @fn in the loop when signal @sig arrives. */
 void mh_loop_signal(
     struct mh_loop *l, int sig, void (*fn)(void *arg), void *arg);
 
@@ -1070,26 +1079,35 @@
 	bool once; /* never sent twice, not even by the HTTP library */
 };
 
-/** struct mh_http_done - the end of one HTTP call. */
+/** struct mh_http_done - result of one HTTP call. */
 struct mh_http_done {
-	uint32_t status; /* 0: no answer */
-	bool sent; /* false: never left */
-	bool whole;
-	bool broke; /* the other end closed in the middle */
+	uint32_t status; /* 0: no response */
+	bool sent; /* false: no connection was made */
+	bool whole; /* the response is complete */
+	bool broke; /* the connection failed during the call */
 	GBytes *body;
 	uint64_t index; /* X-Consul-Index */
 };
 
 typedef void (*mh_http_done_fn)(void *arg, const struct mh_http_done *d);
-/** mh_http_data_fn - false: the call ends, broken by us. */
+/** mh_http_data_fn - takes part of a response body; false aborts the call. */
 typedef bool (*mh_http_data_fn)(
     void *arg, uint32_t status, const char *data, size_t len);
 
-/** mh_client_create() - owned by the kernel; create it before its users. */
+/**
+ * mh_client_create() - the kernel owns it.  Create it before the services that
+ * use it: the kernel destroys them in reverse order.
+ */
 struct mh_client *mh_client_create(struct mh_loop *l);
-/** mh_client_start() - @data may be NULL: the body is then collected. */
+/**
+ * mh_client_start() - starts a call.
+ * @data: takes the body; NULL: it is collected for @done
+ *
+ * Return: the id of the call.
+ */
 uint64_t mh_client_start(struct mh_client *c, const struct mh_http_call *call,
     mh_http_data_fn data, mh_http_done_fn done, void *arg);
+/** mh_client_abort() - ends a call without @done; ignores an unknown id. */
 void mh_client_abort(struct mh_client *c, uint64_t id);
 
 /* kv.c: service "kv"; vmlist.c: service "vmlist"; endpoint.c: "endpoint" */
@@ -1113,6 +1131,7 @@
 	const char *cert_file; /* NULL: no TLS */
 	const char *key_file;
 	void (*on_request)(void *arg, struct mh_http_req *r);
+	/* the caller disconnected before its response was given */
 	void (*on_gone)(void *arg, struct mh_http_req *r);
 	void *arg;
 };
@@ -1121,11 +1140,11 @@
     struct mh_loop *l, const struct mh_httpd_args *a, GError **err);
 void mh_httpd_destroy(struct mh_httpd *h);
 uint16_t mh_httpd_port(const struct mh_httpd *h);
-/** mh_httpd_stop() - accept no more connections. */
+/** mh_httpd_stop() - accepts the connections of the backlog, then no more. */
 void mh_httpd_stop(struct mh_httpd *h);
-/** mh_httpd_close() - answer what still comes with 503; then destroy. */
+/** mh_httpd_close() - refuses new requests with 503 until destroyed. */
 void mh_httpd_close(struct mh_httpd *h);
-/** mh_httpd_open() - requests not wholly read or not wholly answered. */
+/** mh_httpd_open() - number of requests not yet read or answered in full. */
 uint32_t mh_httpd_open(const struct mh_httpd *h);
 const char *mh_req_method(const struct mh_http_req *r);
 const char *mh_req_path(const struct mh_http_req *r);
@@ -1137,15 +1156,17 @@
 bool mh_req_too_big(const struct mh_http_req *r);
 uint64_t mh_req_id(const struct mh_http_req *r);
 struct mh_http_req *mh_httpd_find(struct mh_httpd *h, uint64_t id);
-/** mh_req_header_set() - a header of the answer to come, the last counts. */
+/** mh_req_header_set() - sets or replaces a header of the response. */
 void mh_req_header_set(
     struct mh_http_req *r, const char *name, const char *value);
+/** mh_req_reply() - gives the whole response; @body may be NULL. */
 void mh_req_reply(
     struct mh_http_req *r, uint32_t status, const char *type, GBytes *body);
+/** mh_req_stream() - begins a streamed response. */
 void mh_req_stream(struct mh_http_req *r, uint32_t status, const char *type);
 void mh_req_stream_add(struct mh_http_req *r, GBytes *part);
 void mh_req_stream_end(struct mh_http_req *r);
-/** mh_req_cut() - drops the connection in the middle of the answer. */
+/** mh_req_cut() - closes the connection before the response is complete. */
 void mh_req_cut(struct mh_http_req *r);
 
 /* poisonmember.c: service "poison" of entry daemons and side processes */
@@ -1159,20 +1180,20 @@
 
 /* admin.c */
 
-/** mh_admin_serve() - answers /livez, /readyz, /metrics and /state. */
+/** mh_admin_serve() - answers GET /livez, /readyz and /metrics; else false. */
 bool mh_admin_serve(struct mh_kern *k, struct mh_http_req *r);
-/** mh_state_dump() - the whole process's state as JSON text. */
+/** mh_state_dump() - state of the process as JSON text; g_free() it. */
 char *mh_state_dump(struct mh_kern *k);
 /** mh_admin_create() - answers StateAsk frames. */
 void mh_admin_create(struct mh_kern *k);
 
-/* daemon.c: what every daemon does the same way */
+/* daemon.c: settings and logging of all daemons */
 
 /*
- * Seconds between a daemon's first signal and its kill.  Supervisors of
- * containers wait 30 s if not told otherwise.  The least leaves a second for
- * work beside the one for telling its end; the most is the longest deadline
- * that the declarations allow.
+ * Seconds from a daemon's first signal to SIGKILL.  Container supervisors wait
+ * 30 s by default.  The minimum leaves one second for work besides the second
+ * for announcing the exit.  The maximum is the longest deadline that the
+ * declarations allow.
  */
 #define MH_GRACE_S 30
 #define MH_GRACE_MIN_S 2
@@ -1195,23 +1216,28 @@
 	char *log_level;
 	int slots;
 	int queue_limit;
-	int grace; /* seconds from the first signal to the kill */
+	int grace; /* seconds from the first signal to SIGKILL */
 	bool check_only;
 };
 
 enum mh_daemon_kind { MH_DAEMON_ENTRY, MH_DAEMON_SIDE };
 
-/** mh_settings_read() - flags win over MARLHOIST_*; exits on bad ones. */
+/**
+ * mh_settings_read() - reads flags and MARLHOIST_* variables; flags take
+ * precedence.  Exits if a setting is invalid; free with mh_settings_clear().
+ */
 void mh_settings_read(
     struct mh_settings *s, enum mh_daemon_kind kind, int argc, char **argv);
 void mh_settings_clear(struct mh_settings *s);
-/** mh_secret_read() - the shared secret, first line of a file. */
+/** mh_secret_read() - the shared secret: first line of @file; g_free() it. */
 char *mh_secret_read(const char *file, GError **err);
+/** mh_log_start() - logs @k to standard error; @level NULL: info. */
 void mh_log_start(struct mh_kern *k, const char *program, const char *level);
 void mh_log_stop(void);
+/** mh_random_incarnation() - a random number, never 0. */
 uint64_t mh_random_incarnation(void);
 
-/* run.c: a daemon from its settings to its end */
+/* run.c: life cycle of a daemon */
 
 struct mh_daemon;
 
@@ -1220,12 +1246,12 @@
 	const char *name;
 	const char *role;
 	enum mh_daemon_kind kind;
-	int64_t linger_us; /* shortest drain */
+	int64_t linger_us; /* minimum time of the drain */
 	/* creates the services and d->httpd */
 	bool (*create)(struct mh_daemon *d, GError **err);
-	/* from now on d->grace_us are left */
+	/* starts the drain; SIGKILL follows in d->grace_us */
 	void (*drain)(struct mh_daemon *d);
-	bool (*idle)(struct mh_daemon *d);
+	bool (*idle)(struct mh_daemon *d); /* no work remains */
 };
 
 /** struct mh_daemon - a running daemon. */
@@ -1237,13 +1263,13 @@
 	struct mh_loop *loop;
 	struct mh_client *client;
 	struct mh_httpd *httpd;
-	int64_t grace_us; /* from the first signal to the kill */
-	struct mh_timer *drain;
+	int64_t grace_us; /* from the first signal to SIGKILL */
+	struct mh_timer *drain; /* next check; NULL: not draining */
 	int64_t drain_at_us;
-	int64_t idle_at_us; /* draining and without work since, 0: not yet */
+	int64_t idle_at_us; /* no work remains since then; 0: work remains */
 };
 
-/** mh_daemon_main() - runs until drained; the process's exit status. */
+/** mh_daemon_main() - runs until drained; returns the exit status. */
 int mh_daemon_main(const struct mh_daemon_ops *ops, int argc, char **argv);
 
 /* coldslot.c: time slots for sending to a cold endpoint */
--- a/lib/meter.c
+++ b/lib/meter.c
@@ -1,12 +1,12 @@
 /**
- * DOC: Latency histograms by name, as Prometheus text.
+ * DOC: Named latency histograms, exported as Prometheus text.
  *
- * Service "meter" of a kernel; without it observations go nowhere.
+ * Service "meter" of a kernel; observations are dropped if it is not there.
  */
 
 #include "gate.h"
 
-/* Upper bounds, from a hop on the local network to the longest deadline. */
+/* Bucket limits, from a local network round trip to the longest deadline. */
 static const int64_t bounds_us[] = { 500, 1000, 2000, 5000, 10000, 20000, 50000,
 	100000, 200000, 300000, 500000, 800000, 1200000, 1600000, 2500000,
 	4000000, 8000000, 20000000 };
--- a/lib/run.c
+++ b/lib/run.c
@@ -1,6 +1,6 @@
 /**
- * DOC: A daemon from its settings to its end: kernel, loop, link, signals,
- * drain.  What differs between the daemons comes as functions.
+ * DOC: Life cycle of a daemon: settings, kernel, loop, link, signals and drain.
+ * The daemons pass what differs between them as struct mh_daemon_ops.
  */
 
 #include "marlhoist.h"
@@ -10,14 +10,15 @@
 #include <stdlib.h>
 
 #define DRAIN_CHECK_US (50 * MH_US_PER_MS)
-/* The largest body, 1 MiB, takes 8.4 s on a line of 1 Mbit/s. */
-#define FLUSH_US (10 * MH_US_PER_S)
+/* The largest body, 1 MiB, takes 8.4 s at 1 Mbit/s. */
+#define FLUSH_TIMEOUT_US (10 * MH_US_PER_S)
 /*
- * Between our own end and the kill: one check that was just missed, and the
- * close of all connections, on a machine that is busy (whole test suites side
- * by side: the kill came first in 3 of 5 with 200 ms, in none of 5 with 500).
+ * The process exits this long before SIGKILL: time for a drain check that was
+ * just missed and for closing all connections on a busy machine.  With test
+ * suites running in parallel SIGKILL came first in 3 of 5 runs with 200 ms and
+ * in none of 5 with 500 ms.
  */
-#define EXIT_US (500 * MH_US_PER_MS)
+#define EXIT_MARGIN_US (500 * MH_US_PER_MS)
 
 static G_GNUC_NORETURN void
 fail(const struct mh_daemon *d, GError *err)
@@ -27,10 +28,10 @@
 }
 
 /*
- * A service is done with a request when its answer is made, and hears of it
- * when its body is whole.  The bytes before and after are the HTTP server's:
- * a daemon that asked only the service cut answers in the middle.  A caller
- * that stalls holds the process for FLUSH_US and no longer.
+ * A service knows a request from when its body is complete until its response
+ * is ready.  Before and after that only the HTTP server knows of it, so both
+ * must be idle: checking just the service truncated responses.  A stalled
+ * caller delays the exit by at most FLUSH_TIMEOUT_US.
  */
 static bool
 is_done(struct mh_daemon *d)
@@ -42,19 +43,19 @@
 	if (d->idle_at_us == 0)
 		d->idle_at_us = mh_now(d->k);
 	return mh_httpd_open(d->httpd) == 0 ||
-	    mh_now(d->k) - d->idle_at_us >= FLUSH_US;
+	    mh_now(d->k) - d->idle_at_us >= FLUSH_TIMEOUT_US;
 }
 
 static void
 check_drained(void *arg)
 {
 	struct mh_daemon *d = arg;
-	int64_t waited = mh_now(d->k) - d->drain_at_us;
+	int64_t elapsed_us = mh_now(d->k) - d->drain_at_us;
 
 	d->drain = mh_timer_start(d->k, DRAIN_CHECK_US, check_drained, d);
-	if (waited < d->ops->linger_us)
+	if (elapsed_us < d->ops->linger_us)
 		return;
-	if (!is_done(d) && waited < d->grace_us - EXIT_US)
+	if (!is_done(d) && elapsed_us < d->grace_us - EXIT_MARGIN_US)
 		return;
 	mh_log(d->k, "daemon", "Drained.");
 	mh_httpd_close(d->httpd);
@@ -62,10 +63,10 @@
 }
 
 /*
- * The first signal drains, later ones change nothing.  The supervisor's kill
- * closes connections without a word, and a daemon that did not know of it ran
- * into it with whatever it held.  So the grace bounds all: the service answers
- * what it has a while before, and the process ends before the kill.
+ * The first signal starts the drain, later ones are ignored.  The supervisor's
+ * SIGKILL closes connections without a response.  The grace period therefore
+ * bounds the drain: the service responds to all remaining requests some time
+ * before its end, and the process exits before SIGKILL.
  */
 static void
 on_terminate(void *arg)
