--- a/regress/child.c
+++ b/regress/child.c
@@ -1,5 +1,5 @@
 /**
- * DOC: A daemon in a child process over real sockets, and one caller of it.
+ * DOC: Runs a daemon in a child process and connects one caller to it.
  */
 
 #include "child.h"
@@ -85,13 +85,13 @@
 bool
 child_leaves(struct child *c, int kill_ms)
 {
-	int64_t until = g_get_monotonic_time() + kill_ms * MH_US_PER_MS;
+	int64_t deadline_us = g_get_monotonic_time() + kill_ms * MH_US_PER_MS;
 	int status = -1;
 	pid_t pid;
 
 	kill(c->pid, SIGTERM);
 	while ((pid = waitpid(c->pid, &status, WNOHANG)) == 0 &&
-	    g_get_monotonic_time() < until)
+	    g_get_monotonic_time() < deadline_us)
 		poll(NULL, 0, 10);
 	if (pid == 0) {
 		kill(c->pid, SIGKILL);
--- a/regress/child.h
+++ b/regress/child.h
@@ -5,27 +5,27 @@
 
 #include <sys/types.h>
 
-#define CHILD_MS 10000 /* no answer takes longer */
+#define CHILD_MS 10000 /* longest wait for data */
 
-/** struct child - a daemon and one caller's connection to it. */
+/** struct child - a daemon process and a caller's connection to it. */
 struct child {
 	pid_t pid;
 	int fd;
-	GString *got;
+	GString *got; /* all data received */
 };
 
-/** child_main - a daemon's main(). */
+/** child_main - main() of a daemon. */
 typedef int (*child_main)(int argc, char **argv);
 
-/** child_start() - an entry daemon, ready, and a connection to it. */
+/** child_start() - starts a daemon, waits until it is ready and connects. */
 void child_start(struct child *c, child_main run);
-/** child_read() - at most @max bytes; false when no more will come. */
+/** child_read() - reads up to @max bytes; false at the end or a timeout. */
 bool child_read(struct child *c, size_t max);
 void child_send(struct child *c, const char *text);
 /**
- * child_leaves() - SIGTERM, and after @kill_ms SIGKILL.
+ * child_leaves() - sends SIGTERM, and SIGKILL after @kill_ms; frees the rest.
  *
- * True if the daemon ended well before.
+ * Return: whether the daemon exited with status 0 before SIGKILL.
  */
 bool child_leaves(struct child *c, int kill_ms);
 
--- a/regress/golden.c
+++ b/regress/golden.c
@@ -1,5 +1,5 @@
 /**
- * DOC: Texts of whole sessions against files that were read and committed.
+ * DOC: Compares texts of whole sessions with reviewed files in golden/.
  */
 
 #include "golden.h"
--- a/regress/golden.h
+++ b/regress/golden.h
@@ -2,8 +2,8 @@
 #define GOLDEN_H
 
 /**
- * golden_compare() - fails the test unless @text is what golden/@name.txt
- * holds; MARLHOIST_GOLDEN=write writes the file instead.
+ * golden_compare() - fails the test if @text differs from golden/@name.txt.
+ * With MARLHOIST_GOLDEN=write it writes the file first.
  */
 void golden_compare(const char *name, const char *text);
 
--- a/regress/main.c
+++ b/regress/main.c
@@ -1,5 +1,5 @@
 /**
- * DOC: Runs every suite; the last line is the runner's own count.
+ * DOC: Runs all suites; the last line of the output counts the results.
  */
 
 #include "red.h"
@@ -16,7 +16,7 @@
 
 const char *regress_dir = "regress";
 
-/* Seeds by hand, "FIRST-LAST"; 0: those of the test. */
+/* Seeds from the command line, "FIRST-LAST"; 0: those of the test. */
 static uint32_t first_seed, last_seed;
 
 uint32_t
@@ -32,7 +32,7 @@
 }
 
 static bool
-take_seeds(const char *text)
+parse_seeds(const char *text)
 {
 	char *end;
 
@@ -60,7 +60,7 @@
 	{ "nodes", tests_nodes },
 	{ "adapter", tests_adapter },
 	{ "fuzz", tests_fuzz },
-	{ "cell", tests_sched },
+	{ "sched", tests_sched },
 	{ "gate", tests_gate },
 	{ "leave", tests_leave },
 	{ "mesh", tests_mesh },
@@ -75,8 +75,8 @@
 	{ "registry", tests_registry },
 	{ "store", tests_store },
 	{ "slow", tests_slow },
-	{ "home", tests_coordinator },
-	{ "handon", tests_handoff },
+	{ "coordinator", tests_coordinator },
+	{ "handoff", tests_handoff },
 	{ "sse", tests_sse },
 	{ "front", tests_front },
 	{ "events", tests_events },
@@ -84,7 +84,7 @@
 	{ "work", tests_work },
 	{ "drain", tests_drain },
 	{ "grace", tests_grace },
-	{ "fall", tests_crash },
+	{ "crash", tests_crash },
 	{ "late", tests_late_crash },
 	{ "poison", tests_poison },
 	{ "stage", tests_stage },
@@ -92,14 +92,15 @@
 };
 
 /*
- * Known failures: the tests listed are run and printed; they alone may fail,
- * and one that passes must go from the list.  Days and seeds of the soak are
- * printed only.
+ * Results against KNOWN-RED.txt, the list of known failures.  Only the listed
+ * tests may fail; they are run and printed, and one that passes must be removed
+ * from the list.  Entries of other programs, a day or a soak seed, are only
+ * printed.
  */
 struct red {
-	GHashTable *known; /* names of those that failed as listed */
-	uint32_t stale; /* listed, and did not fail */
-	uint32_t bad; /* lines that can't be taken */
+	GHashTable *known; /* names of listed tests that failed */
+	uint32_t stale; /* listed tests that passed or don't exist */
+	uint32_t malformed; /* malformed lines */
 };
 
 static bool
@@ -126,30 +127,30 @@
 }
 
 static void
-judge_red_line(struct red *r, const char *line, bool all)
+check_red_line(struct red *r, const char *line, bool all)
 {
 	const char *why;
 	struct red_entry *e = red_entry_parse(line, &why);
 
 	if (e == NULL) {
 		printf("known red, %s: %s\n", why, line);
-		r->bad++;
-	} else if (e->is_elsewhere) {
+		r->malformed++;
+	} else if (e->is_external) {
 		if (all)
-			printf("known red, not played here: %s\n", line);
+			printf("known red, not run here: %s\n", line);
 	} else if (has_run(e->name) && has_failed(e->name)) {
 		printf("known red: %s\n", line);
-		/* A line that stands twice excuses one test. */
+		/* A duplicate line must not excuse a second test. */
 		g_hash_table_add(r->known, g_strdup(e->name));
 	} else if (has_run(e->name) || all) {
-		printf("known red, passes now, take it off: %s\n", line);
+		printf("known red, passes now, remove it: %s\n", line);
 		r->stale++;
 	}
 	red_entry_destroy(e);
 }
 
 static void
-judge_red(struct red *r, bool all)
+check_red_list(struct red *r, bool all)
 {
 	char *file = g_build_filename(regress_dir, "..", "KNOWN-RED.txt", NULL);
 	char *text = NULL;
@@ -158,8 +159,8 @@
 		char **lines = g_strsplit(text, "\n", -1);
 
 		for (char **l = lines; *l != NULL; l++) {
-			if (red_line_counts(*l))
-				judge_red_line(r, *l, all);
+			if (red_line_is_entry(*l))
+				check_red_line(r, *l, all);
 		}
 		g_strfreev(lines);
 	}
@@ -189,7 +190,7 @@
 		return EXIT_FAILURE;
 	if (argc > 1)
 		regress_dir = argv[1];
-	if (argc > 3 && !take_seeds(argv[3])) {
+	if (argc > 3 && !parse_seeds(argv[3])) {
 		fprintf(stderr,
 		    "usage: regress [dir [suite-or-test [first-last]]]\n");
 		return EXIT_FAILURE;
@@ -200,9 +201,10 @@
 	CU_basic_run_tests();
 	red.known =
 	    g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-	judge_red(&red, argc <= 2);
+	check_red_list(&red, argc <= 2);
 	red_tests = CU_get_number_of_tests_failed();
-	failed = red_tests - g_hash_table_size(red.known) + red.stale + red.bad;
+	failed = red_tests - g_hash_table_size(red.known) + red.stale +
+	    red.malformed;
 	g_hash_table_destroy(red.known);
 	run = CU_get_number_of_tests_run();
 	CU_cleanup_registry();
--- a/regress/red.c
+++ b/regress/red.c
@@ -1,34 +1,34 @@
 /**
- * DOC: The list of known failures, an entry a line.
+ * DOC: Parser of KNOWN-RED.txt, the list of known failures, one a line.
  */
 
 #include "red.h"
 
 #include <glib.h>
 
-#define PARTS 4
-/* What tests don't play: a day of the bench, a seed of the soak. */
-static const char *const elsewhere[] = { "day ", "soak ", NULL };
+#define FIELDS 4
+/* Name prefixes of entries that no test of this program runs. */
+static const char *const other_prefixes[] = { "day ", "soak ", NULL };
 
 bool
-red_line_counts(const char *line)
+red_line_is_entry(const char *line)
 {
 	return *line != '\0' && *line != '#';
 }
 
 static const char *
-wrong_with(char **part)
+entry_error(char **field)
 {
 	char *end;
 
-	if (g_strv_length(part) != PARTS)
+	if (g_strv_length(field) != FIELDS)
 		return "not \"test or day | command and seed | what was seen "
 		       "| issue\"";
-	for (int i = 0; i < PARTS; i++) {
-		if (*g_strstrip(part[i]) == '\0')
-			return "a part is empty";
+	for (int i = 0; i < FIELDS; i++) {
+		if (*g_strstrip(field[i]) == '\0')
+			return "a field is empty";
 	}
-	if (g_ascii_strtoull(part[PARTS - 1], &end, 10) == 0 || *end != '\0')
+	if (g_ascii_strtoull(field[FIELDS - 1], &end, 10) == 0 || *end != '\0')
 		return "the issue is not a number";
 	return NULL;
 }
@@ -36,21 +36,21 @@
 struct red_entry *
 red_entry_parse(const char *line, const char **why)
 {
-	char **part = g_strsplit(line, "|", -1);
+	char **field = g_strsplit(line, "|", -1);
 	struct red_entry *e = NULL;
 
-	*why = wrong_with(part);
+	*why = entry_error(field);
 	if (*why != NULL)
 		goto done;
 	e = g_new0(struct red_entry, 1);
-	e->name = g_strdup(part[0]);
-	e->command = g_strdup(part[1]);
-	e->seen = g_strdup(part[2]);
-	e->issue = (uint32_t)g_ascii_strtoull(part[3], NULL, 10);
-	for (int i = 0; elsewhere[i] != NULL; i++)
-		e->is_elsewhere |= g_str_has_prefix(e->name, elsewhere[i]);
+	e->name = g_strdup(field[0]);
+	e->command = g_strdup(field[1]);
+	e->seen = g_strdup(field[2]);
+	e->issue = (uint32_t)g_ascii_strtoull(field[3], NULL, 10);
+	for (int i = 0; other_prefixes[i] != NULL; i++)
+		e->is_external |= g_str_has_prefix(e->name, other_prefixes[i]);
 done:
-	g_strfreev(part);
+	g_strfreev(field);
 	return e;
 }
 
--- a/regress/regress.h
+++ b/regress/regress.h
@@ -10,7 +10,7 @@
 	void (*fn)(void);
 };
 
-/* One table for each file, ended by a NULL name. */
+/* One table per suite, terminated by a NULL name. */
 extern const struct test tests_kern[];
 extern const struct test tests_decl[];
 extern const struct test tests_queue[];
@@ -52,12 +52,12 @@
 extern const struct test tests_stage[];
 extern const struct test tests_red[];
 
-/** regress_dir - where golden files stand. */
+/** regress_dir - the directory that contains golden/. */
 extern const char *regress_dir;
 
 /**
- * regress_first() - the seed that a test of many begins with: @seed, or the one
- * given by hand; regress_last() - the last, likewise.
+ * regress_first() - the first seed of a test that runs a range of seeds: @seed,
+ * or the one from the command line; regress_last() - likewise the last.
  */
 uint32_t regress_first(uint32_t seed);
 uint32_t regress_last(uint32_t seed);
--- a/regress/t_adapter.c
+++ b/regress/t_adapter.c
@@ -1,7 +1,7 @@
 /**
- * DOC: Contract tests of the adapters over real sockets on loopback: HTTP
- * server and client, KV service, VM list, endpoint, link.  The other side
- * is a stand-in in the same process; port 0; no assertion on time.
+ * DOC: Contract tests of the adapters over loopback sockets: HTTP server and
+ * client, KV service, VM list, endpoint and link.  The peer is a stand-in in
+ * the same process.  Ports are ephemeral, and no test asserts durations.
  */
 
 #include "net.h"
@@ -14,19 +14,19 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-#define LONGEST_US (10 * MH_US_PER_S)
-#define LONGEST_TEXT (4U << 20) /* as of other answers */
+#define TIMEOUT_US (10 * MH_US_PER_S)
+#define MAX_TEXT_BYTES (4U << 20) /* as for other responses */
 #define ENDLESS_BYTES (6U << 20)
-#define ENDLESS_PIECE 1000U
-#define LARGE_FRAME (1U << 20)
+#define PIECE_BYTES 1000U
+#define LARGE_FRAME_BYTES (1U << 20)
 #define LARGE_FRAMES 40
 
-/** struct reply - how the stand-in answers the next calls. */
+/** struct reply - the stand-in's response to the next calls. */
 struct reply {
 	const char *name;
-	uint32_t status; /* 0: cut, 1: never answer */
+	uint32_t status; /* 0: close the connection, 1: never respond */
 	const char *body;
-	bool stream; /* body is sent as a stream */
+	bool stream; /* send the body as a stream */
 	bool cut_stream;
 };
 
@@ -36,13 +36,13 @@
 	struct mh_client *client;
 	struct mh_httpd *httpd;
 	const struct reply *reply;
-	bool hold; /* streams are left open */
+	bool leave_open; /* leave streams open */
 	char url[64];
-	uint32_t hits;
-	uint32_t gone;
+	uint32_t requests;
+	uint32_t disconnects;
 	char last_path[128];
 	char last_key[64];
-	/* what came back */
+	/* results received from the adapter */
 	uint32_t done;
 	struct mh_msg *msg;
 	uint32_t chunks;
@@ -50,7 +50,7 @@
 	bool whole;
 	bool sent;
 	GString *body;
-	struct mh_timer *late;
+	struct mh_timer *timeout;
 	bool timed_out;
 };
 
@@ -68,7 +68,7 @@
 	const char *key = mh_req_header(r, "Idempotency-Key");
 	GBytes *b;
 
-	g->hits++;
+	g->requests++;
 	g_strlcpy(g->last_path, mh_req_path(r), sizeof(g->last_path));
 	g_strlcpy(g->last_key, key == NULL ? "" : key, sizeof(g->last_key));
 	if (p->status == 0) {
@@ -83,7 +83,7 @@
 		mh_req_stream_add(r, b);
 		if (p->cut_stream)
 			mh_req_cut(r);
-		else if (!g->hold)
+		else if (!g->leave_open)
 			mh_req_stream_end(r);
 	} else {
 		mh_req_header_set(r, "X-Consul-Index", "7");
@@ -93,17 +93,17 @@
 }
 
 static void
-on_gone(void *arg, struct mh_http_req *r)
+on_disconnect(void *arg, struct mh_http_req *r)
 {
 	struct rig *g = arg;
 
 	(void)r;
-	g->gone++;
+	g->disconnects++;
 }
 
-/* Stands in for the service that an adapter answers. */
+/* Stands in for the service that an adapter reports to. */
 static void
-take(void *self, struct mh_msg *m)
+on_message(void *self, struct mh_msg *m)
 {
 	struct rig *g = self;
 
@@ -131,11 +131,11 @@
 }
 
 static void
-on_late(void *arg)
+on_timeout(void *arg)
 {
 	struct rig *g = arg;
 
-	g->late = NULL;
+	g->timeout = NULL;
 	g->timed_out = true;
 	mh_loop_stop(g->loop);
 }
@@ -145,7 +145,7 @@
 {
 	struct mh_httpd_args a = { .listen = "127.0.0.1:0",
 		.on_request = on_request,
-		.on_gone = on_gone,
+		.on_gone = on_disconnect,
 		.arg = g };
 
 	memset(g, 0, sizeof(*g));
@@ -157,7 +157,7 @@
 	snprintf(g->url, sizeof(g->url), "http://127.0.0.1:%u",
 	    mh_httpd_port(g->httpd));
 	g->body = g_string_new(NULL);
-	g->late = mh_timer_start(g->k, LONGEST_US, on_late, g);
+	g->timeout = mh_timer_start(g->k, TIMEOUT_US, on_timeout, g);
 }
 
 static void
@@ -206,7 +206,7 @@
 
 		rig_open(&g);
 		g.reply = &c->reply;
-		mh_kern_add(g.k, "side", &g, take, NULL);
+		mh_kern_add(g.k, "side", &g, on_message, NULL);
 		mh_endpoint_create(g.k, g.client, g.url);
 		m->u.run.run = 1;
 		m->u.run.path = g_strdup("/v1/x");
@@ -229,9 +229,9 @@
 	}
 }
 
-enum stream_end { ENDS, IS_CUT, STAYS_OPEN };
+enum stream_end { END_NORMAL, END_CUT, END_NEVER };
 
-/** struct stream_case - an engine's stream, and what is taken of it. */
+/** struct stream_case - an engine's stream and the text expected from it. */
 struct stream_case {
 	const char *name;
 	uint32_t status;
@@ -242,17 +242,17 @@
 };
 
 static void
-play_stream(const struct stream_case *c)
+run_stream_case(const struct stream_case *c)
 {
 	const struct reply reply = { c->name, c->status, c->body, true,
-		c->end == IS_CUT };
+		c->end == END_CUT };
 	struct mh_msg *m = mh_msg_new(MH_MSG_RUN);
 	struct rig g;
 
 	rig_open(&g);
 	g.reply = &reply;
-	g.hold = c->end == STAYS_OPEN;
-	mh_kern_add(g.k, "side", &g, take, NULL);
+	g.leave_open = c->end == END_NEVER;
+	mh_kern_add(g.k, "side", &g, on_message, NULL);
 	mh_endpoint_create(g.k, g.client, g.url);
 	m->u.run.run = 1;
 	m->u.run.path = g_strdup("/v1/x");
@@ -271,83 +271,86 @@
 
 #define PIECE(t) "data: {\"choices\":[{\"text\":\"" t "\"}]}\n\n"
 
-/* Guards against text taken from the body of an error. */
+/* Guards against taking text from the body of an error response. */
 static void
-test_stream_of_an_error(void)
+test_stream_with_error_status(void)
 {
 	static const struct stream_case c = { "error", 500, PIECE("a") DONE,
-		ENDS, true, "" };
+		END_NORMAL, true, "" };
 
-	play_stream(&c);
+	run_stream_case(&c);
 }
 
-/* Guards against no text at all, taken for a whole one. */
+/* Guards against reporting an empty text as complete for status 201. */
 static void
-test_stream_of_another_success(void)
+test_stream_with_status_201(void)
 {
 	static const struct stream_case c = { "created", 201, PIECE("a") DONE,
-		ENDS, false, "" };
+		END_NORMAL, false, "" };
 
-	play_stream(&c);
+	run_stream_case(&c);
 }
 
-/* Guards against a text that lacks a piece in its middle. */
+/* Guards against a text with a missing piece in the middle. */
 static void
 test_stream_with_a_bad_event(void)
 {
 	static const struct stream_case c = { "bad event", 200,
-		PIECE("a") "data: }{\n\n" PIECE("c") DONE, ENDS, false, "a" };
+		PIECE("a") "data: }{\n\n" PIECE("c") DONE, END_NORMAL, false,
+		"a" };
 
-	play_stream(&c);
+	run_stream_case(&c);
 }
 
-static const struct stream_case error_events[] = {
+static const struct stream_case error_event_cases[] = {
 	{ "error alone", 200,
-	    PIECE("a") "data: {\"error\":{\"message\":\"x\"}}\n\n" DONE, ENDS,
-	    false, "a" },
+	    PIECE("a") "data: {\"error\":{\"message\":\"x\"}}\n\n" DONE,
+	    END_NORMAL, false, "a" },
 	{ "error beside choices", 200,
-	    PIECE("a") "data: {\"error\":{},\"choices\":[]}\n\n" DONE, ENDS,
-	    false, "a" },
-	{ "no choices", 200, PIECE("a") "data: {}\n\n" DONE, ENDS, false, "a" },
+	    PIECE("a") "data: {\"error\":{},\"choices\":[]}\n\n" DONE,
+	    END_NORMAL, false, "a" },
+	{ "no choices", 200, PIECE("a") "data: {}\n\n" DONE, END_NORMAL, false,
+	    "a" },
 	{ "no error", 200,
 	    "data: {\"error\":null,\"choices\":[{\"text\":\"a\"}]}\n\n"
 	    "data: {\"choices\":[],\"usage\":{}}\n\n" DONE,
-	    ENDS, true, "a" },
+	    END_NORMAL, true, "a" },
 };
 
-/* Guards against a text that its engine gave up, taken for a whole one. */
+/* Guards against reporting a text as complete that its engine aborted. */
 static void
 test_stream_with_an_error_event(void)
 {
-	for (size_t i = 0; i < G_N_ELEMENTS(error_events); i++)
-		play_stream(&error_events[i]);
+	for (size_t i = 0; i < G_N_ELEMENTS(error_event_cases); i++)
+		run_stream_case(&error_event_cases[i]);
 }
 
-static const struct stream_case after_ends[] = {
-	{ "text behind the end", 200, PIECE("a") DONE PIECE("b"), ENDS, true,
-	    "a" },
-	{ "cut behind the end", 200, PIECE("a") DONE, IS_CUT, true, "a" },
-	{ "open behind the end", 200, PIECE("a") DONE, STAYS_OPEN, true, "a" },
+static const struct stream_case after_end_cases[] = {
+	{ "text after the end", 200, PIECE("a") DONE PIECE("b"), END_NORMAL,
+	    true, "a" },
+	{ "cut after the end", 200, PIECE("a") DONE, END_CUT, true, "a" },
+	{ "open after the end", 200, PIECE("a") DONE, END_NEVER, true, "a" },
 };
 
-/* Guards against more text behind a whole one. */
+/* Guards against taking text after the end mark. */
 static void
-test_stream_after_its_end(void)
+test_stream_with_data_after_end(void)
 {
-	for (size_t i = 0; i < G_N_ELEMENTS(after_ends); i++)
-		play_stream(&after_ends[i]);
+	for (size_t i = 0; i < G_N_ELEMENTS(after_end_cases); i++)
+		run_stream_case(&after_end_cases[i]);
 }
 
-/* Guards against half a piece, or a torn text taken for a whole one. */
+/* Guards against half a piece, or a truncated text reported as complete. */
 static void
-test_stream_torn_at_any_byte(void)
+test_stream_truncated_at_any_byte(void)
 {
 	static const char body[] = PIECE("a") PIECE("b") DONE;
 	const char *two = strstr(body, "\n\n") + 2;
 
 	for (size_t n = 0; n <= strlen(body); n++) {
 		char *part = g_strndup(body, n);
-		struct stream_case c = { "torn", 200, part, ENDS, false, "" };
+		struct stream_case c = { "truncated", 200, part, END_NORMAL,
+			false, "" };
 
 		if (strstr(part, "a\"}]}\n") != NULL)
 			c.text = "a";
@@ -355,20 +358,20 @@
 		    strstr(part + (two - body), "\n") != NULL)
 			c.text = "ab";
 		c.whole = strstr(part, "[DONE]\n") != NULL;
-		play_stream(&c);
-		c.end = IS_CUT;
-		play_stream(&c);
+		run_stream_case(&c);
+		c.end = END_CUT;
+		run_stream_case(&c);
 		g_free(part);
 	}
 }
 
-/* Guards against an engine without an end that eats our memory. */
+/* Guards against an endless stream that exhausts memory. */
 static void
-test_stream_without_an_end(void)
+test_endless_stream(void)
 {
 	struct reply endless = { "endless", 200, NULL, true, false };
 	struct mh_msg *m = mh_msg_new(MH_MSG_RUN);
-	char *text = g_strnfill(ENDLESS_PIECE, 'x');
+	char *text = g_strnfill(PIECE_BYTES, 'x');
 	GString *body = g_string_new(NULL);
 	struct rig g;
 
@@ -379,7 +382,7 @@
 	endless.body = body->str;
 	rig_open(&g);
 	g.reply = &endless;
-	mh_kern_add(g.k, "side", &g, take, NULL);
+	mh_kern_add(g.k, "side", &g, on_message, NULL);
 	mh_endpoint_create(g.k, g.client, g.url);
 	m->u.run.run = 1;
 	m->u.run.path = g_strdup("/v1/x");
@@ -389,7 +392,7 @@
 	mh_post(g.k, "endpoint", m);
 	mh_loop_run(g.loop);
 	CU_ASSERT_FALSE(g.whole);
-	CU_ASSERT(g.body->len <= LONGEST_TEXT);
+	CU_ASSERT(g.body->len <= MAX_TEXT_BYTES);
 	rig_close(&g);
 	g_string_free(body, TRUE);
 	g_free(text);
@@ -399,13 +402,13 @@
 	"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n" \
 	"Content-Length: 48\r\n\r\n" PIECE(t) DONE
 
-/** struct engine - says its last answer again where one follows. */
+/** struct engine - repeats its response before the next one on a connection. */
 struct engine {
 	struct rig *g;
 	int listen_fd;
 	int fd; /* -1: none */
-	uint32_t asked;
-	uint32_t asked_here; /* on this connection */
+	uint32_t n_requests;
+	uint32_t n_conn_requests; /* requests on this connection */
 };
 
 static void
@@ -432,8 +435,8 @@
 		close_engine(e);
 		return;
 	}
-	own = e->asked++ == 0 ? STREAM("a") : STREAM("b");
-	out = g_string_new(e->asked_here++ == 0 ? "" : STREAM("a"));
+	own = e->n_requests++ == 0 ? STREAM("a") : STREAM("b");
+	out = g_string_new(e->n_conn_requests++ == 0 ? "" : STREAM("a"));
 	g_string_append(out, own);
 	CU_ASSERT_EQUAL(
 	    send(e->fd, out->str, out->len, MSG_NOSIGNAL), (ssize_t)out->len);
@@ -449,7 +452,7 @@
 	(void)writable;
 	close_engine(e);
 	e->fd = accept(e->listen_fd, NULL, NULL);
-	e->asked_here = 0;
+	e->n_conn_requests = 0;
 	mh_loop_fd(e->g->loop, e->fd, true, false, on_engine, e);
 }
 
@@ -468,9 +471,9 @@
 	mh_loop_run(g->loop);
 }
 
-/* Guards against a stream that an engine sends once more, for the next one. */
+/* Guards against taking a repeated stream for the response to the next call. */
 static void
-test_stream_sent_once_more(void)
+test_stream_sent_twice(void)
 {
 	struct engine e = { .fd = -1 };
 	char addr[32], url[64];
@@ -482,7 +485,7 @@
 	e.listen_fd = tcp_listen(addr);
 	mh_loop_fd(g.loop, e.listen_fd, true, false, on_engine_accept, &e);
 	snprintf(url, sizeof(url), "http://%s", addr);
-	mh_kern_add(g.k, "side", &g, take, NULL);
+	mh_kern_add(g.k, "side", &g, on_message, NULL);
 	mh_endpoint_create(g.k, g.client, url);
 	run_stream_once(&g, 1);
 	CU_ASSERT_STRING_EQUAL(g.body->str, "a");
@@ -495,13 +498,13 @@
 }
 
 static void
-test_endpoint_not_there(void)
+test_endpoint_unreachable(void)
 {
 	struct mh_msg *m = mh_msg_new(MH_MSG_RUN);
 	struct rig g;
 
 	rig_open(&g);
-	mh_kern_add(g.k, "side", &g, take, NULL);
+	mh_kern_add(g.k, "side", &g, on_message, NULL);
 	mh_endpoint_create(g.k, g.client, "http://127.0.0.1:1");
 	m->u.run.run = 1;
 	m->u.run.path = g_strdup("/x");
@@ -524,10 +527,10 @@
 }
 
 /*
- * A service answers one call and keeps the connection; at the next call it
- * runs the booking and dies before it answers.  libcurl sent the call again
- * by itself over a new connection: two performers.  A call marked "once"
- * never uses a connection that was used before.
+ * Guards against executing a call twice.  A service responds to one call and
+ * keeps the connection; it executes the next call and closes the connection
+ * without a response.  libcurl then retries by itself on a new connection.  A
+ * call with "once" set never uses a connection that was used before.
  */
 static void
 test_http_library_never_resends(void)
@@ -550,8 +553,8 @@
 		mh_client_start(g.client, &call, NULL, on_done, &g);
 		mh_loop_run(g.loop);
 		CU_ASSERT_EQUAL(g.status, 0);
-		/* Without the mark the library itself asks a second time. */
-		CU_ASSERT_EQUAL(g.hits, once == 1 ? 2 : 3);
+		/* Without "once" libcurl itself retries. */
+		CU_ASSERT_EQUAL(g.requests, once == 1 ? 2 : 3);
 		rig_close(&g);
 	}
 }
@@ -596,7 +599,7 @@
 
 		rig_open(&g);
 		g.reply = &c->reply;
-		mh_kern_add(g.k, "conf", &g, take, NULL);
+		mh_kern_add(g.k, "conf", &g, on_message, NULL);
 		mh_kv_create(g.k, g.client, g.url);
 		m->u.kv.op = c->op;
 		m->u.kv.from = g_strdup("conf");
@@ -612,8 +615,8 @@
 		CU_ASSERT_EQUAL(g.sent, c->found);
 		CU_ASSERT_EQUAL(g.status, c->cas);
 		CU_ASSERT_STRING_EQUAL(g.last_path, "/v1/kv/config/head");
-		/* A write whose answer was lost is never written again. */
-		CU_ASSERT(c->op != MH_KV_PUT || g.hits == 1);
+		/* A write whose response was lost is never retried. */
+		CU_ASSERT(c->op != MH_KV_PUT || g.requests == 1);
 		rig_close(&g);
 	}
 }
@@ -621,7 +624,7 @@
 static const struct {
 	struct reply reply;
 	bool ok;
-} list_cases[] = {
+} vmlist_cases[] = {
 	{ { "empty", 200, "[]", false, false }, true },
 	{ { "one", 200,
 	      "[{\"id\":\"a\",\"addr\":\"127.0.0.1:1\",\"role\":\"side\","
@@ -638,23 +641,23 @@
 static void
 test_vmlist_contract(void)
 {
-	for (size_t i = 0; i < G_N_ELEMENTS(list_cases); i++) {
+	for (size_t i = 0; i < G_N_ELEMENTS(vmlist_cases); i++) {
 		struct rig g;
 
 		rig_open(&g);
-		g.reply = &list_cases[i].reply;
-		mh_kern_add(g.k, "roster", &g, take, NULL);
+		g.reply = &vmlist_cases[i].reply;
+		mh_kern_add(g.k, "roster", &g, on_message, NULL);
 		mh_vmlist_create(g.k, g.client, g.url);
 		mh_post(g.k, "vmlist", mh_msg_new(MH_MSG_VMLIST_ASK));
 		mh_loop_run(g.loop);
-		CU_ASSERT_EQUAL(g.whole, list_cases[i].ok);
+		CU_ASSERT_EQUAL(g.whole, vmlist_cases[i].ok);
 		rig_close(&g);
 	}
 }
 
-/* A caller that leaves while its request waits is noticed. */
+/* A caller that disconnects while its request waits is noticed. */
 static void
-test_caller_leaving_is_noticed(void)
+test_caller_disconnect_is_noticed(void)
 {
 	static const struct reply never = { "silent", 1, "", false, false };
 	struct mh_http_call call = { .method = "POST",
@@ -666,8 +669,8 @@
 	call.url = g.url;
 	mh_client_start(g.client, &call, NULL, on_done, &g);
 	mh_loop_run(g.loop);
-	CU_ASSERT_EQUAL(g.hits, 1);
-	while (g.gone == 0 && !g.timed_out) {
+	CU_ASSERT_EQUAL(g.requests, 1);
+	while (g.disconnects == 0 && !g.timed_out) {
 		struct mh_http_call ping = { .method = "GET",
 			.url = g.url,
 			.timeout_us = 300 * MH_US_PER_MS };
@@ -675,12 +678,12 @@
 		mh_client_start(g.client, &ping, NULL, on_done, &g);
 		mh_loop_run(g.loop);
 	}
-	CU_ASSERT(g.gone >= 1);
+	CU_ASSERT(g.disconnects >= 1);
 	rig_close(&g);
 }
 
-/** struct ends - what the link service told its owner. */
-struct ends {
+/** struct link_events - link events of both ends of a link. */
+struct link_events {
 	struct mh_kern *k;
 	struct mh_loop *loop;
 	uint32_t up;
@@ -688,9 +691,9 @@
 };
 
 static void
-end_handle(void *self, struct mh_msg *m)
+count_event(void *self, struct mh_msg *m)
 {
-	struct ends *e = self;
+	struct link_events *e = self;
 
 	e->up += m->kind == MH_MSG_LINK_UP;
 	e->down += m->kind == MH_MSG_LINK_DOWN;
@@ -699,9 +702,9 @@
 }
 
 static void
-stop_ends(void *arg)
+stop_loop(void *arg)
 {
-	struct ends *e = arg;
+	struct link_events *e = arg;
 
 	mh_loop_stop(e->loop);
 }
@@ -732,9 +735,9 @@
 	g_bytes_unref(b);
 }
 
-/* A stranger's greeting, then a proof that it cannot make. */
+/* A valid Hello, then an Auth with a wrong MAC. */
 static void
-send_stranger(int fd)
+send_bad_peer(int fd)
 {
 	Mh__Frame f = MH__FRAME__INIT;
 	Mh__Hello h = MH__HELLO__INIT;
@@ -759,27 +762,27 @@
 	send_frame(fd, &f);
 }
 
-struct stranger {
+struct bad_peer {
 	const char *name;
-	const char *bytes; /* NULL: a greeting with a wrong proof */
+	const char *bytes; /* NULL: a Hello and a wrong MAC */
 	size_t len;
 };
 
-static const struct stranger strangers[] = {
-	{ "wrong proof", NULL, 0 },
+static const struct bad_peer bad_peers[] = {
+	{ "wrong MAC", NULL, 0 },
 	{ "another protocol", "GET / HTTP/1.1\r\n\r\n", 18 },
 	{ "garbage frame", "\0\0\0\4\377\377\377\377", 8 },
 	{ "oversize frame", "\177\377\377\377", 4 },
 };
 
 /*
- * Who does not hold the secret gets nothing through, is never announced,
- * and its connection is closed; who holds it is linked.
+ * A peer without the secret is never announced, none of its frames is
+ * delivered and its connection is closed.  A peer with the secret is linked.
  */
 static void
 test_link(void)
 {
-	struct ends e = { .k = mh_kern_create(1) };
+	struct link_events e = { .k = mh_kern_create(1) };
 	struct mh_link_args a = { .listen = "127.0.0.1:0",
 		.vm = "one",
 		.domain = "a",
@@ -788,21 +791,21 @@
 	char addr[32], c;
 
 	e.loop = mh_loop_create(e.k, NULL);
-	mh_kern_add(e.k, "hub", &e, end_handle, NULL);
+	mh_kern_add(e.k, "hub", &e, count_event, NULL);
 	CU_ASSERT_TRUE(mh_link_create(e.loop, &a, NULL));
-	for (size_t i = 0; i < G_N_ELEMENTS(strangers); i++) {
-		const struct stranger *s = &strangers[i];
+	for (size_t i = 0; i < G_N_ELEMENTS(bad_peers); i++) {
+		const struct bad_peer *s = &bad_peers[i];
 		int fd = connect_to(mh_link_port(e.loop));
 		ssize_t n;
 
 		if (s->bytes == NULL)
-			send_stranger(fd);
+			send_bad_peer(fd);
 		else
 			CU_ASSERT_EQUAL(
 			    write(fd, s->bytes, s->len), (ssize_t)s->len);
-		mh_timer_start(e.k, 100 * MH_US_PER_MS, stop_ends, &e);
+		mh_timer_start(e.k, 100 * MH_US_PER_MS, stop_loop, &e);
 		mh_loop_run(e.loop);
-		/* Its own greeting, then the end: nothing else came. */
+		/* Skips the Hello of the link service up to the close. */
 		do {
 			n = recv(fd, &c, 1, MSG_DONTWAIT);
 		} while (n > 0);
@@ -819,45 +822,45 @@
 	mh_loop_destroy(e.loop);
 }
 
-/** struct side_of - one end of a link, on a loop of its own. */
-struct side_of {
+/** struct link_end - one end of a link with its own event loop. */
+struct link_end {
 	struct mh_kern *k;
 	struct mh_loop *loop;
 	uint64_t conn; /* 0: not up */
 	bool down;
-	uint32_t heard; /* times that part of a frame had come */
+	uint32_t progress; /* reports of a partly received frame */
 	uint32_t frames;
 };
 
 static void
-side_handle(void *self, struct mh_msg *m)
+on_end_message(void *self, struct mh_msg *m)
 {
-	struct side_of *s = self;
+	struct link_end *s = self;
 
 	if (m->kind == MH_MSG_LINK_UP)
 		s->conn = m->u.link.conn;
 	s->down |= m->kind == MH_MSG_LINK_DOWN;
-	s->heard += m->kind == MH_MSG_LINK_HEARD;
+	s->progress += m->kind == MH_MSG_LINK_HEARD;
 	s->frames += m->kind == MH_MSG_FRAME;
 }
 
 static void
-stop_side(void *arg)
+stop_end(void *arg)
 {
-	mh_loop_stop(((struct side_of *)arg)->loop);
+	mh_loop_stop(((struct link_end *)arg)->loop);
 }
 
 static void
-run_side(struct side_of *s)
+run_end(struct link_end *s)
 {
-	/* Its clock stood still while the other end ran. */
+	/* The clock was not advanced while the other end ran. */
 	mh_kern_advance(s->k, g_get_monotonic_time(), g_get_real_time());
-	mh_timer_start(s->k, 20 * MH_US_PER_MS, stop_side, s);
+	mh_timer_start(s->k, 20 * MH_US_PER_MS, stop_end, s);
 	mh_loop_run(s->loop);
 }
 
 static void
-open_side(struct side_of *s, const char *vm)
+open_end(struct link_end *s, const char *vm)
 {
 	struct mh_link_args a = { .listen = "127.0.0.1:0",
 		.vm = vm,
@@ -868,12 +871,12 @@
 	memset(s, 0, sizeof(*s));
 	s->k = mh_kern_create(1);
 	s->loop = mh_loop_create(s->k, NULL);
-	mh_kern_add(s->k, "hub", s, side_handle, NULL);
+	mh_kern_add(s->k, "hub", s, on_end_message, NULL);
 	CU_ASSERT_TRUE(mh_link_create(s->loop, &a, NULL));
 }
 
 static void
-send_bytes(struct side_of *s, size_t len)
+send_bytes(struct link_end *s, size_t len)
 {
 	struct mh_msg *m = mh_msg_new(MH_MSG_LINK_SEND);
 
@@ -883,96 +886,97 @@
 }
 
 static void
-link_sides(struct side_of *us, struct side_of *peer)
+link_ends(struct link_end *us, struct link_end *peer)
 {
 	int64_t start = g_get_monotonic_time();
 	char addr[32];
 
-	open_side(us, "us");
-	open_side(peer, "peer");
+	open_end(us, "us");
+	open_end(peer, "peer");
 	snprintf(addr, sizeof(addr), "127.0.0.1:%u", mh_link_port(peer->loop));
 	mh_link_dial(us->k, 1000, addr);
-	while (us->conn == 0 && g_get_monotonic_time() - start < LONGEST_US) {
-		run_side(us);
-		run_side(peer);
+	while (us->conn == 0 && g_get_monotonic_time() - start < TIMEOUT_US) {
+		run_end(us);
+		run_end(peer);
 	}
 	CU_ASSERT(us->conn != 0);
 }
 
 static void
-close_side(struct side_of *s)
+close_end(struct link_end *s)
 {
 	mh_kern_destroy(s->k);
 	mh_loop_destroy(s->loop);
 }
 
-/* Guards against a link taken for silent while a large frame is coming. */
+/* Guards against taking a link as silent while it receives a large frame. */
 static void
 test_link_part_of_a_frame(void)
 {
 	static const struct {
 		size_t len;
-		bool heard;
-	} t[] = { { 100, false }, { 4096, false }, { LARGE_FRAME, true } };
-	struct side_of us, peer;
+		bool progress;
+	} t[] = { { 100, false }, { 4096, false },
+		{ LARGE_FRAME_BYTES, true } };
+	struct link_end us, peer;
 
-	link_sides(&us, &peer);
+	link_ends(&us, &peer);
 	for (size_t i = 0; i < G_N_ELEMENTS(t); i++) {
 		int64_t start = g_get_monotonic_time();
 
-		peer.heard = peer.frames = 0;
+		peer.progress = peer.frames = 0;
 		send_bytes(&us, t[i].len);
 		while (peer.frames == 0 &&
-		    g_get_monotonic_time() - start < LONGEST_US) {
-			run_side(&us);
-			run_side(&peer);
+		    g_get_monotonic_time() - start < TIMEOUT_US) {
+			run_end(&us);
+			run_end(&peer);
 		}
 		CU_ASSERT_EQUAL(peer.frames, 1);
-		CU_ASSERT_EQUAL(peer.heard > 0, t[i].heard);
+		CU_ASSERT_EQUAL(peer.progress > 0, t[i].progress);
 	}
-	close_side(&us);
-	close_side(&peer);
+	close_end(&us);
+	close_end(&peer);
 }
 
-/* Guards against memory kept for a peer that reads nothing. */
+/* Guards against unbounded buffers for a peer that does not read. */
 static void
-test_link_to_one_that_does_not_read(void)
+test_link_to_peer_that_does_not_read(void)
 {
-	struct side_of us, peer;
+	struct link_end us, peer;
 	int64_t start = g_get_monotonic_time();
 
-	link_sides(&us, &peer);
-	/* The peer's loop stands still. */
+	link_ends(&us, &peer);
+	/* The peer's loop does not run. */
 	for (int i = 0; i < LARGE_FRAMES; i++) {
-		send_bytes(&us, LARGE_FRAME);
-		run_side(&us);
+		send_bytes(&us, LARGE_FRAME_BYTES);
+		run_end(&us);
 	}
-	while (!us.down && g_get_monotonic_time() - start < LONGEST_US)
-		run_side(&us);
+	while (!us.down && g_get_monotonic_time() - start < TIMEOUT_US)
+		run_end(&us);
 	CU_ASSERT_TRUE(us.down);
 	CU_ASSERT_EQUAL(mh_counter(us.k, "link_overflows"), 1);
-	close_side(&us);
-	close_side(&peer);
+	close_end(&us);
+	close_end(&peer);
 }
 
 const struct test tests_adapter[] = {
 	{ "endpoint_contract", test_endpoint_contract },
-	{ "stream_of_an_error", test_stream_of_an_error },
-	{ "stream_of_another_success", test_stream_of_another_success },
+	{ "stream_with_error_status", test_stream_with_error_status },
+	{ "stream_with_status_201", test_stream_with_status_201 },
 	{ "stream_with_a_bad_event", test_stream_with_a_bad_event },
 	{ "stream_with_an_error_event", test_stream_with_an_error_event },
-	{ "stream_after_its_end", test_stream_after_its_end },
-	{ "stream_torn_at_any_byte", test_stream_torn_at_any_byte },
-	{ "stream_without_an_end", test_stream_without_an_end },
-	{ "stream_sent_once_more", test_stream_sent_once_more },
-	{ "endpoint_not_there", test_endpoint_not_there },
+	{ "stream_with_data_after_end", test_stream_with_data_after_end },
+	{ "stream_truncated_at_any_byte", test_stream_truncated_at_any_byte },
+	{ "endless_stream", test_endless_stream },
+	{ "stream_sent_twice", test_stream_sent_twice },
+	{ "endpoint_unreachable", test_endpoint_unreachable },
 	{ "http_library_never_resends", test_http_library_never_resends },
 	{ "kv_contract", test_kv_contract },
 	{ "vmlist_contract", test_vmlist_contract },
-	{ "caller_leaving_is_noticed", test_caller_leaving_is_noticed },
+	{ "caller_disconnect_is_noticed", test_caller_disconnect_is_noticed },
 	{ "link", test_link },
 	{ "link: part of a large frame", test_link_part_of_a_frame },
-	{ "link_to_one_that_does_not_read",
-	    test_link_to_one_that_does_not_read },
+	{ "link_to_peer_that_does_not_read",
+	    test_link_to_peer_that_does_not_read },
 	{ NULL, NULL },
 };
--- a/regress/t_kern.c
+++ b/regress/t_kern.c
@@ -1,5 +1,5 @@
 /**
- * DOC: The kernel, histograms, ids and hashing.
+ * DOC: Tests of the kernel, histograms, UUIDs and rendezvous hashing.
  */
 
 #include "net.h"
@@ -49,11 +49,11 @@
 }
 
 /*
- * A VM's clock is set back by the platform.  Without a guard timers would
- * stand still and every deadline would move: requests hang.
+ * The platform sets the clock of a VM back.  If the kernel's time followed,
+ * timers would stop, deadlines would move and requests would hang.
  */
 static void
-test_time_never_runs_back(void)
+test_time_never_goes_back(void)
 {
 	struct mh_kern *k = mh_kern_create(1);
 
@@ -74,7 +74,7 @@
 }
 
 static void
-test_hist_within_a_bucket(void)
+test_hist_quantile_within_a_bucket(void)
 {
 	struct mh_hist *h = mh_hist_create();
 
@@ -88,7 +88,7 @@
 }
 
 static void
-test_uuid7_tells_its_time(void)
+test_uuid7_contains_time(void)
 {
 	struct mh_kern *k = mh_kern_create(1);
 	uint8_t id[MH_ID_LEN];
@@ -105,23 +105,23 @@
 	mh_kern_destroy(k);
 }
 
-/* One node's leaving moves only what it held. */
+/* Removing a node moves only the keys that it owned. */
 static void
-test_rendezvous_moves_little(void)
+test_rendezvous_moves_few_keys(void)
 {
-	int moved = 0, held = 0;
+	int moved = 0, owned = 0;
 
 	for (int i = 0; i < 1000; i++) {
-		char what[16], node[16];
+		char key[16], node[16];
 		uint64_t best10 = 0, best9 = 0;
 		int at10 = 0, at9 = 0;
 
-		snprintf(what, sizeof(what), "k%d", i);
+		snprintf(key, sizeof(key), "k%d", i);
 		for (int j = 0; j < 10; j++) {
 			uint64_t w;
 
 			snprintf(node, sizeof(node), "n%d", j);
-			w = mh_rendezvous(what, node);
+			w = mh_rendezvous(key, node);
 			if (w > best10) {
 				best10 = w;
 				at10 = j;
@@ -131,19 +131,19 @@
 				at9 = j;
 			}
 		}
-		held += at10 == 9;
+		owned += at10 == 9;
 		moved += at10 != at9;
 	}
-	CU_ASSERT_EQUAL(moved, held);
-	CU_ASSERT(held > 60 && held < 140);
+	CU_ASSERT_EQUAL(moved, owned);
+	CU_ASSERT(owned > 60 && owned < 140);
 }
 
 const struct test tests_kern[] = {
 	{ "timers_in_order", test_timers_in_order },
-	{ "time_never_runs_back", test_time_never_runs_back },
+	{ "time_never_goes_back", test_time_never_goes_back },
 	{ "unknown_service_is_counted", test_unknown_service_is_counted },
-	{ "hist_within_a_bucket", test_hist_within_a_bucket },
-	{ "uuid7_tells_its_time", test_uuid7_tells_its_time },
-	{ "rendezvous_moves_little", test_rendezvous_moves_little },
+	{ "hist_quantile_within_a_bucket", test_hist_quantile_within_a_bucket },
+	{ "uuid7_contains_time", test_uuid7_contains_time },
+	{ "rendezvous_moves_few_keys", test_rendezvous_moves_few_keys },
 	{ NULL, NULL },
 };
--- a/regress/t_red.c
+++ b/regress/t_red.c
@@ -1,5 +1,5 @@
 /**
- * DOC: The list of known failures is read as it is written.
+ * DOC: Tests of the parser of KNOWN-RED.txt.
  */
 
 #include "red.h"
@@ -12,37 +12,37 @@
 {
 	const char *why;
 	struct red_entry *e = red_entry_parse(
-	    "fall: two | regress fall, seed 39 | 1 of 900 held | 25", &why);
+	    "crash: two | regress crash, seed 39 | 1 of 900 lost | 25", &why);
 
 	CU_ASSERT_PTR_NOT_NULL(e);
 	if (e == NULL)
 		return;
-	CU_ASSERT_STRING_EQUAL(e->name, "fall: two");
-	CU_ASSERT_STRING_EQUAL(e->command, "regress fall, seed 39");
-	CU_ASSERT_STRING_EQUAL(e->seen, "1 of 900 held");
+	CU_ASSERT_STRING_EQUAL(e->name, "crash: two");
+	CU_ASSERT_STRING_EQUAL(e->command, "regress crash, seed 39");
+	CU_ASSERT_STRING_EQUAL(e->seen, "1 of 900 lost");
 	CU_ASSERT_EQUAL(e->issue, 25);
-	CU_ASSERT_FALSE(e->is_elsewhere);
+	CU_ASSERT_FALSE(e->is_external);
 	red_entry_destroy(e);
 	e = red_entry_parse("day grown hunt-1 | replay | DRAIN 1 | 2", &why);
-	CU_ASSERT_TRUE(e != NULL && e->is_elsewhere);
+	CU_ASSERT_TRUE(e != NULL && e->is_external);
 	red_entry_destroy(e);
 	e = red_entry_parse("soak 523 | marlsoak | late | 26", &why);
-	CU_ASSERT_TRUE(e != NULL && e->is_elsewhere);
+	CU_ASSERT_TRUE(e != NULL && e->is_external);
 	red_entry_destroy(e);
 	e = red_entry_parse("soaked: a test | regress | late | 26", &why);
-	CU_ASSERT_TRUE(e != NULL && !e->is_elsewhere);
+	CU_ASSERT_TRUE(e != NULL && !e->is_external);
 	red_entry_destroy(e);
 }
 
 /*
- * An entry that can't be taken counts as a failure: skipped in silence, its
- * test would be excused by nothing, or a day would be lost from the list.
+ * A malformed entry must count as a failure.  If it were skipped silently, its
+ * test would not be excused, or a day would disappear from the list.
  */
 static void
-test_red_bad_lines(void)
+test_red_malformed_lines(void)
 {
-	static const char *const bad[] = {
-		"a | b | c", /* the format of three parts */
+	static const char *const malformed[] = {
+		"a | b | c", /* three fields */
 		"a | b | c | 1 | d",
 		"a | | c | 1",
 		"a | b | c | none",
@@ -52,17 +52,17 @@
 	};
 	const char *why;
 
-	for (size_t i = 0; i < sizeof(bad) / sizeof(bad[0]); i++) {
-		CU_ASSERT_PTR_NULL(red_entry_parse(bad[i], &why));
+	for (size_t i = 0; i < sizeof(malformed) / sizeof(malformed[0]); i++) {
+		CU_ASSERT_PTR_NULL(red_entry_parse(malformed[i], &why));
 		CU_ASSERT_PTR_NOT_NULL(why);
 	}
-	CU_ASSERT_FALSE(red_line_counts(""));
-	CU_ASSERT_FALSE(red_line_counts("# a | b | c | 1"));
-	CU_ASSERT_TRUE(red_line_counts("a"));
+	CU_ASSERT_FALSE(red_line_is_entry(""));
+	CU_ASSERT_FALSE(red_line_is_entry("# a | b | c | 1"));
+	CU_ASSERT_TRUE(red_line_is_entry("a"));
 }
 
 const struct test tests_red[] = {
 	{ "red: an entry", test_red_entry },
-	{ "red: lines that are none", test_red_bad_lines },
+	{ "red: malformed lines", test_red_malformed_lines },
 	{ NULL, NULL },
 };
