--- a/marlctl/apply.c
+++ b/marlctl/apply.c
@@ -1,10 +1,11 @@
 /**
- * DOC: apply, show and history: the declarations in the KV service.
+ * DOC: Commands that read and change the declarations in the KV service:
+ * apply, evacuate, take-back, show and history.
  *
- * A document is written once under its own write id; then the small head
- * value is moved to it by compare-and-swap.  An answer lost after the write
- * took effect is told from a lost race by the write id in the head or in
- * its history.
+ * A document is written under a key of its own that contains a random write
+ * id.  Compare-and-swap then makes the small head value refer to it.  If the
+ * response to that write is lost, the write id in the history of the head
+ * shows whether this write took effect or another one won the race.
  */
 
 #include "marlctl.h"
@@ -13,14 +14,14 @@
 #include <stdio.h>
 #include <string.h>
 
-#define HISTORY 20
-#define TRIES 3
+#define MAX_HISTORY 20
+#define MAX_TRIES 3
 #define WRITE_ID_BYTES 12
 
 struct mh_decl *
 read_current(const struct options *o, json_t **head, uint64_t *cas)
 {
-	struct stored s, doc;
+	struct kv_value s, doc;
 	struct mh_decl *d = NULL;
 	GError *err = NULL;
 	gsize len;
@@ -29,10 +30,10 @@
 	*head = NULL;
 	*cas = 0;
 	store_get(o->kv, MH_CONF_HEAD, &s);
-	if (!s.answered)
+	if (!s.responded)
 		die(EXIT_BAD,
-		    "the KV service does not answer; try again "
-		    "when it is back (what is in force stays)");
+		    "the KV service does not respond; try again "
+		    "later (the active document is unchanged)");
 	if (!s.found)
 		return NULL;
 	*cas = s.cas;
@@ -51,8 +52,8 @@
 		d->generation = (uint64_t)json_integer_value(
 		    json_object_get(*head, "generation"));
 	}
-	stored_clear(&doc);
-	stored_clear(&s);
+	kv_value_clear(&doc);
+	kv_value_clear(&s);
 	return d;
 }
 
@@ -80,7 +81,7 @@
 	    json_pack("{s:I, s:s, s:s, s:s}", "generation",
 		(json_int_t)generation, "write_id", write_id, "at", at, "file",
 		base));
-	for (size_t i = 0; i < json_array_size(old) && i + 1 < HISTORY; i++)
+	for (size_t i = 0; i < json_array_size(old) && i + 1 < MAX_HISTORY; i++)
 		json_array_append(a, json_array_get(old, i));
 	g_free(base);
 	g_free(at);
@@ -89,7 +90,7 @@
 }
 
 static bool
-holds_write(json_t *head, const char *write_id)
+has_write_id(json_t *head, const char *write_id)
 {
 	json_t *h;
 	size_t i;
@@ -105,41 +106,46 @@
 	return false;
 }
 
-/* The document's own key is new: a lost answer is settled by reading it. */
+/*
+ * No other write uses this key, so after a lost response the write took effect
+ * if the key exists.
+ */
 static void
 write_doc(const struct options *o, const char *write_id, GBytes *doc)
 {
 	char *name = g_strconcat(MH_CONF_DOC, write_id, NULL);
-	struct stored s;
+	struct kv_value s;
 
-	for (int i = 0; i < TRIES; i++) {
+	for (int i = 0; i < MAX_TRIES; i++) {
 		if (store_put(o->kv, name, 0, doc) == WRITTEN)
 			break;
 		store_get(o->kv, name, &s);
 		if (s.found) {
-			stored_clear(&s);
+			kv_value_clear(&s);
 			break;
 		}
-		if (i + 1 == TRIES)
+		if (i + 1 == MAX_TRIES)
 			die(EXIT_BAD,
-			    "the KV service does not answer; nothing "
+			    "the KV service does not respond; nothing "
 			    "was applied, try again");
 	}
 	g_free(name);
 }
 
-/* What became of a head write: read it back until the service answers. */
-static enum written
-settle(const struct options *o, const char *write_id)
+/*
+ * Reads the head to find out whether a write with a lost response took effect.
+ */
+static enum put_result
+check_head_write(const struct options *o, const char *write_id)
 {
 	json_t *head;
 	uint64_t cas;
 	struct mh_decl *d = read_current(o, &head, &cas);
-	bool mine = holds_write(head, write_id);
+	bool is_written = has_write_id(head, write_id);
 
 	mh_decl_unref(d);
 	json_decref(head);
-	return mine ? WRITTEN : LOST_RACE;
+	return is_written ? WRITTEN : LOST_RACE;
 }
 
 static void
@@ -148,15 +154,14 @@
 	if (o->base_generation >= 0 &&
 	    (uint64_t)o->base_generation != generation)
 		die(EXIT_BAD,
-		    "lost race: generation %" PRIu64
-		    " is in force, not %" PRId64
+		    "lost race: generation %" PRIu64 " is active, not %" PRId64
 		    "; diff again and apply against that",
 		    generation, o->base_generation);
 }
 
-/** struct current - what is in force. */
+/** struct current - the active document and its head. */
 struct current {
-	struct mh_decl *decl; /* NULL: nothing was applied yet */
+	struct mh_decl *decl; /* NULL: none was applied yet */
 	json_t *head;
 	uint64_t cas;
 };
@@ -168,23 +173,26 @@
 	mh_decl_unref(c->decl);
 }
 
-/* Puts @doc in force after @c; @what stands in the history. */
-static enum written
-put_in_force(const struct options *o, const struct current *c, GBytes *doc,
-    const char *what)
+/*
+ * Makes @doc the active document, provided that the head is still @c.
+ * @source: file name or command, recorded in the history
+ */
+static enum put_result
+activate_doc(const struct options *o, const struct current *c, GBytes *doc,
+    const char *source)
 {
 	uint64_t base = c->decl == NULL ? 0 : c->decl->generation;
 	char *id = new_write_id();
-	json_t *history = new_history(c->head, base + 1, id, what);
+	json_t *history = new_history(c->head, base + 1, id, source);
 	GBytes *value;
-	enum written w;
+	enum put_result w;
 
 	write_doc(o, id, doc);
 	value = mh_conf_head_make(base + 1, id, doc, base,
 	    c->decl == NULL ? NULL : c->decl->doc, history);
 	w = store_put(o->kv, MH_CONF_HEAD, c->cas, value);
-	if (w == NO_ANSWER)
-		w = settle(o, id);
+	if (w == NO_RESPONSE)
+		w = check_head_write(o, id);
 	if (w == WRITTEN)
 		printf("applied generation=%" PRIu64 " write_id=%s\n", base + 1,
 		    id);
@@ -195,8 +203,9 @@
 }
 
 /*
- * A document from version control knows nothing of what was evacuated since;
- * one that has a list of its own says it itself.
+ * Returns the text of @new with the evacuated domains of @old, because a
+ * document from version control doesn't include later evacuations.  If @new
+ * lists evacuated domains itself, its own list is used.
  */
 static GBytes *
 keep_evacuated(const struct mh_decl *new, const struct mh_decl *old)
@@ -209,7 +218,7 @@
 	doc = mh_decl_with_evacuated(new->doc, old->evacuated, &err);
 	if (doc == NULL)
 		die(EXIT_BAD, "%s", err->message);
-	printf("evacuated domains stay so: %u\n", old->evacuated->len);
+	printf("domains that stay evacuated: %u\n", old->evacuated->len);
 	return doc;
 }
 
@@ -226,9 +235,9 @@
 	c.decl = read_current(o, &c.head, &c.cas);
 	check_base(o, c.decl == NULL ? 0 : c.decl->generation);
 	doc = keep_evacuated(new, c.decl);
-	if (put_in_force(o, &c, doc, file) != WRITTEN)
+	if (activate_doc(o, &c, doc, file) != WRITTEN)
 		die(EXIT_BAD,
-		    "lost race: somebody else applied first; diff "
+		    "lost race: another document was applied first; diff "
 		    "again and apply against the new generation");
 	current_clear(&c);
 	mh_decl_unref(new);
@@ -237,9 +246,9 @@
 	return 0;
 }
 
-/* What is evacuated, with @domain or without. */
+/* The evacuated domains of @d, with @domain added or removed. */
 static GPtrArray *
-changed_list(const struct mh_decl *d, const char *domain, bool evacuate)
+changed_evacuated(const struct mh_decl *d, const char *domain, bool evacuate)
 {
 	GPtrArray *list = g_ptr_array_new_with_free_func(g_free);
 
@@ -252,15 +261,15 @@
 	return list;
 }
 
-static enum written
-try_change(const struct options *o, const char *domain, bool evacuate)
+static enum put_result
+try_change_evacuated(const struct options *o, const char *domain, bool evacuate)
 {
 	GError *err = NULL;
 	struct current c;
 	GPtrArray *list;
 	GBytes *doc;
-	char *what;
-	enum written w = WRITTEN;
+	char *source;
+	enum put_result w = WRITTEN;
 
 	c.decl = read_current(o, &c.head, &c.cas);
 	if (c.decl == NULL)
@@ -271,14 +280,14 @@
 		current_clear(&c);
 		return w;
 	}
-	list = changed_list(c.decl, domain, evacuate);
+	list = changed_evacuated(c.decl, domain, evacuate);
 	doc = mh_decl_with_evacuated(c.decl->doc, list, &err);
 	if (doc == NULL)
 		die(EXIT_BAD, "%s", err->message);
-	what = g_strdup_printf(
+	source = g_strdup_printf(
 	    "%s-%s", evacuate ? "evacuate" : "take-back", domain);
-	w = put_in_force(o, &c, doc, what);
-	g_free(what);
+	w = activate_doc(o, &c, doc, source);
+	g_free(source);
 	g_ptr_array_free(list, TRUE);
 	g_bytes_unref(doc);
 	current_clear(&c);
@@ -293,11 +302,12 @@
 		    "\"%s\" can't name a failure domain: use letters, digits, "
 		    "\"-\", \"_\", \".\" and \":\"",
 		    domain);
-	for (int i = 0; i < TRIES; i++) {
-		if (try_change(o, domain, evacuate) == WRITTEN)
+	for (int i = 0; i < MAX_TRIES; i++) {
+		if (try_change_evacuated(o, domain, evacuate) == WRITTEN)
 			return 0;
 	}
-	die(EXIT_BAD, "others apply all the time; try again");
+	die(EXIT_BAD,
+	    "lost race: other documents are being applied; try again");
 }
 
 int
--- a/marlctl/ask.c
+++ b/marlctl/ask.c
@@ -1,5 +1,6 @@
 /**
- * DOC: state and order: one frame to a process, one frame back.
+ * DOC: Commands state and order: send one frame to a process and print the
+ * frame that it returns.
  */
 
 #include "marlctl.h"
@@ -9,42 +10,42 @@
 #include <string.h>
 #include <unistd.h>
 
-#define ANSWER_US (3 * MH_US_PER_S)
-#define FENCE_NAME "orders/fence"
+#define RESPONSE_TIMEOUT_US (3 * MH_US_PER_S)
+#define FENCE_KEY "orders/fence"
 #define FENCE_TRIES 5
 
-struct ask {
+struct frame_request {
 	struct mh_kern *k;
 	struct mh_loop *loop;
 	uint64_t conn;
 	Mh__Frame *frame;
 	int status;
-	bool answered;
+	bool responded;
 };
 
 static void
-take_frame(struct ask *a, GBytes *b)
+take_frame(struct frame_request *a, GBytes *b)
 {
 	Mh__Frame *f = mh_frame_unpack(b);
 
 	if (f != NULL && f->body_case == MH__FRAME__BODY_STATE) {
 		printf("%s\n", f->state->json);
-		a->answered = true;
+		a->responded = true;
 	} else if (f != NULL && f->body_case == MH__FRAME__BODY_ORDER_RESULT) {
 		printf("status=%u %s\n", f->order_result->status,
 		    f->order_result->text);
 		a->status = f->order_result->status < 300 ? 0 : EXIT_BAD;
-		a->answered = true;
+		a->responded = true;
 	}
 	mh_frame_free(f);
-	if (a->answered)
+	if (a->responded)
 		mh_loop_stop(a->loop);
 }
 
 static void
 handle(void *self, struct mh_msg *m)
 {
-	struct ask *a = self;
+	struct frame_request *a = self;
 
 	switch (m->kind) {
 	case MH_MSG_LINK_UP:
@@ -62,15 +63,15 @@
 static void
 on_late(void *arg)
 {
-	struct ask *a = arg;
+	struct frame_request *a = arg;
 
 	mh_loop_stop(a->loop);
 }
 
 static int
-ask(const struct options *o, const char *addr, Mh__Frame *f)
+send_request(const struct options *o, const char *addr, Mh__Frame *f)
 {
-	struct ask a = { .frame = f };
+	struct frame_request a = { .frame = f };
 	GError *err = NULL;
 	struct mh_link_args link = { .vm = "marlctl",
 		.domain = "",
@@ -81,7 +82,7 @@
 	if (o->secret_file == NULL)
 		die(EXIT_USAGE,
 		    "--secret-file or MARLHOIST_SECRET_FILE is "
-		    "missing: give the processes' secret");
+		    "missing: give the shared secret of the processes");
 	secret = mh_secret_read(o->secret_file, &err);
 	if (secret == NULL)
 		die(EXIT_BAD, "%s", err->message);
@@ -93,14 +94,14 @@
 	mh_kern_add(a.k, "hub", &a, handle, NULL);
 	a.conn = mh_next_id(a.k);
 	mh_link_dial(a.k, a.conn, addr);
-	mh_timer_start(a.k, ANSWER_US, on_late, &a);
+	mh_timer_start(a.k, RESPONSE_TIMEOUT_US, on_late, &a);
 	mh_loop_run(a.loop);
 	mh_kern_destroy(a.k);
 	mh_loop_destroy(a.loop);
 	g_free(secret);
-	if (!a.answered)
+	if (!a.responded)
 		die(EXIT_BAD,
-		    "%s does not answer: check the address and the "
+		    "%s does not respond: check the address and the "
 		    "secret",
 		    addr);
 	return a.status;
@@ -114,32 +115,35 @@
 
 	f.body_case = MH__FRAME__BODY_STATE_ASK;
 	f.state_ask = &s;
-	return ask(o, addr, &f);
+	return send_request(o, addr, &f);
 }
 
-/* The modify index of a value written by CAS only grows: a fencing number. */
+/*
+ * Writes a value by compare-and-swap and returns its new modify index.  The
+ * index only grows, so it serves as a fencing number.
+ */
 static uint64_t
 take_fence(const struct options *o)
 {
 	GBytes *value = g_bytes_new_static("marlctl", 7);
-	struct stored s;
+	struct kv_value s;
 	uint64_t fence = 0;
 
 	for (int i = 0; i < FENCE_TRIES && fence == 0; i++) {
-		store_get(o->kv, FENCE_NAME, &s);
-		if (s.answered &&
-		    store_put(o->kv, FENCE_NAME, s.cas, value) == WRITTEN) {
-			stored_clear(&s);
-			store_get(o->kv, FENCE_NAME, &s);
+		store_get(o->kv, FENCE_KEY, &s);
+		if (s.responded &&
+		    store_put(o->kv, FENCE_KEY, s.cas, value) == WRITTEN) {
+			kv_value_clear(&s);
+			store_get(o->kv, FENCE_KEY, &s);
 			fence = s.cas;
 		}
-		stored_clear(&s);
+		kv_value_clear(&s);
 	}
 	g_bytes_unref(value);
 	if (fence == 0)
 		die(EXIT_BAD,
-		    "no fencing number: the KV service is out or "
-		    "others order too; try again");
+		    "no fencing number: the KV service does not respond "
+		    "or other orders are being sent; try again");
 	return fence;
 }
 
@@ -156,5 +160,5 @@
 	f.body_case = MH__FRAME__BODY_ORDER;
 	f.order = &m;
 	printf("fence=%" PRIu64 " ", m.fence);
-	return ask(o, addr, &f);
+	return send_request(o, addr, &f);
 }
--- a/marlctl/diff.c
+++ b/marlctl/diff.c
@@ -1,8 +1,9 @@
 /**
- * DOC: diff: what a new document would change for requests.
+ * DOC: Command diff: shows how a new document changes the handling of requests.
  *
- * Every declared organisation asks for every pipeline in every class under
- * both documents; the decisions that differ are printed.
+ * The rules of the old and the new document are evaluated for each combination
+ * of organisation, pipeline and class that the new document declares.
+ * Decisions that differ are printed.
  */
 
 #include "marlctl.h"
--- a/marlctl/marlctl.c
+++ b/marlctl/marlctl.c
@@ -1,5 +1,5 @@
 /**
- * DOC: marlctl: the operators' tool.
+ * DOC: marlctl: command line tool for operators.
  */
 
 #include "marlctl.h"
@@ -36,21 +36,22 @@
 
 static const struct command commands[] = {
 	{ "check", "FILE", "check a document", 1, false, run_check },
-	{ "diff", "FILE", "what it would change for requests", 1, true,
+	{ "diff", "FILE", "compare with the active document", 1, true,
 	    run_diff },
-	{ "apply", "FILE", "put it in force", 1, true, run_apply },
-	{ "show", "", "the document in the KV service", 0, true, run_show },
-	{ "history", "", "the last generations", 0, true, run_history },
-	{ "explain", "FILE", "which rule decides a request", 1, false,
+	{ "apply", "FILE", "make a document active", 1, true, run_apply },
+	{ "show", "", "print the active document", 0, true, run_show },
+	{ "history", "", "list the last generations", 0, true, run_history },
+	{ "explain", "FILE", "show which rule matches a request", 1, false,
 	    run_explain },
-	{ "state", "ADDRESS", "a process's state", 1, false, run_state },
-	{ "order", "ADDRESS VERB SUBJECT", "order an engine", 3, true,
-	    run_order },
+	{ "state", "ADDRESS", "print the state of a process", 1, false,
+	    run_state },
+	{ "order", "ADDRESS VERB SUBJECT", "send an order to an engine", 3,
+	    true, run_order },
 	{ "evacuate", "DOMAIN", "send nothing to a failure domain", 1, true,
 	    run_evacuate },
 	{ "take-back", "DOMAIN", "use a failure domain again", 1, true,
 	    run_take_back },
-	{ "hash-key", "KEY", "a key's hash for a document", 1, false,
+	{ "hash-key", "KEY", "print the hash of an API key", 1, false,
 	    run_hash_key },
 };
 
@@ -69,7 +70,7 @@
 {
 	struct arg_str *kv = arg_str0(NULL, "kv", "<url>", "KV service");
 	struct arg_str *secret =
-	    arg_str0(NULL, "secret-file", "<file>", "processes' secret");
+	    arg_str0(NULL, "secret-file", "<file>", "shared secret");
 	struct arg_str *org =
 	    arg_str0(NULL, "organisation", "<name>", "for explain");
 	struct arg_str *pipeline =
@@ -79,9 +80,9 @@
 	struct arg_str *model =
 	    arg_str0(NULL, "model", "<name>", "for explain");
 	struct arg_int *base = arg_int0(
-	    NULL, "generation", "<n>", "for apply: the one diffed against");
+	    NULL, "generation", "<n>", "for apply: expected generation");
 	struct arg_int *fence =
-	    arg_int0(NULL, "fence", "<n>", "for order: a number held");
+	    arg_int0(NULL, "fence", "<n>", "for order: fencing number");
 	struct arg_str *words =
 	    arg_strn(NULL, NULL, "<word>", 1, MAX_WORDS, "command");
 	struct arg_end *end = arg_end(5);
@@ -98,7 +99,7 @@
 					  : getenv("MARLHOIST_SECRET_FILE");
 	o.org = org->count > 0 ? org->sval[0] : NULL;
 	o.pipeline = pipeline->count > 0 ? pipeline->sval[0] : NULL;
-	o.class_asked = class->count > 0 ? class->sval[0] : NULL;
+	o.class_name = class->count > 0 ? class->sval[0] : NULL;
 	o.model = model->count > 0 ? model->sval[0] : NULL;
 	if (base->count > 0)
 		o.base_generation = base->ival[0];
@@ -112,7 +113,8 @@
 		    "--kv or MARLHOIST_KV is missing: give the KV "
 		    "service's URL");
 	if (sodium_init() < 0)
-		die(EXIT_BAD, "no random source: check the system");
+		die(EXIT_BAD,
+		    "the random number generator cannot be initialised");
 	rv = c->run(&o, &words->sval[1]);
 	arg_freetable(table, G_N_ELEMENTS(table));
 	return rv;
@@ -182,16 +184,16 @@
 run_explain(const struct options *o, const char *const *args)
 {
 	struct mh_decl *d = read_decl(args[0]);
-	struct mh_ask ask = { .org = o->org,
+	struct mh_ask input = { .org = o->org,
 		.pipeline = o->pipeline,
-		.class_asked = o->class_asked,
+		.class_asked = o->class_name,
 		.model = o->model,
 		.wall_us = g_get_real_time() };
 	char *text;
 
 	if (o->org == NULL || o->pipeline == NULL)
 		die(EXIT_USAGE, "explain needs --organisation and --pipeline");
-	text = mh_rules_explain(d, &ask);
+	text = mh_rules_explain(d, &input);
 	fputs(text, stdout);
 	g_free(text);
 	mh_decl_unref(d);
--- a/marlctl/marlctl.h
+++ b/marlctl/marlctl.h
@@ -3,7 +3,7 @@
 
 #include "marlhoist.h"
 
-#define EXIT_BAD 1 /* refused: bad input, a lost race */
+#define EXIT_BAD 1 /* bad input, lost race or no response */
 #define EXIT_USAGE 2
 
 /** struct options - flags shared by the commands. */
@@ -12,31 +12,36 @@
 	const char *secret_file;
 	const char *org;
 	const char *pipeline;
-	const char *class_asked;
+	const char *class_name;
 	const char *model;
 	int64_t base_generation; /* -1: not given */
-	uint64_t fence;
+	uint64_t fence; /* 0: get a new one from the KV service */
 };
 
 /* marlctl.c */
+/** die() - prints the message to stderr and exits with @status. */
 G_GNUC_NORETURN void die(int status, const char *fmt, ...) G_GNUC_PRINTF(2, 3);
 GBytes *read_file(const char *path);
 
-/* store.c: the KV service, one call at a time */
+/* store.c: blocking client of the KV service */
 
-/** struct stored - one value as read. */
-struct stored {
-	bool answered; /* false: no answer came */
+/** struct kv_value - result of reading a key; kv_value_clear() frees it. */
+struct kv_value {
+	bool responded; /* status 200 or 404 was received */
 	bool found;
-	uint64_t cas;
-	GBytes *value;
+	uint64_t cas; /* modify index; 0: no such key */
+	GBytes *value; /* NULL unless found */
 };
 
-void store_get(const char *kv, const char *name, struct stored *out);
-void stored_clear(struct stored *s);
+void store_get(const char *kv, const char *name, struct kv_value *out);
+void kv_value_clear(struct kv_value *s);
 
-enum written { WRITTEN, LOST_RACE, NO_ANSWER };
-enum written store_put(
+/**
+ * enum put_result - result of a write: written, not written because the modify
+ * index was not @cas, or unknown.
+ */
+enum put_result { WRITTEN, LOST_RACE, NO_RESPONSE };
+enum put_result store_put(
     const char *kv, const char *name, uint64_t cas, GBytes *value);
 
 /* apply.c */
@@ -45,7 +50,14 @@
 int cmd_take_back(const struct options *o, const char *domain);
 int cmd_history(const struct options *o);
 int cmd_show(const struct options *o);
-/** read_current() - the document in the KV, NULL when there is none. */
+/**
+ * read_current() - reads the active document; NULL if there is none or its
+ * key cannot be read.
+ * @head: set to the head value, owned by the caller, or NULL
+ * @cas: set to the modify index of the head
+ *
+ * Exits if the KV service doesn't respond or its values are malformed.
+ */
 struct mh_decl *read_current(
     const struct options *o, json_t **head, uint64_t *cas);
 
@@ -53,7 +65,7 @@
 int cmd_diff(const struct options *o, const char *file);
 void diff_decls(const struct mh_decl *old, const struct mh_decl *new);
 
-/* ask.c: frames to a process */
+/* ask.c */
 int cmd_state(const struct options *o, const char *addr);
 int cmd_order(const struct options *o, const char *addr, const char *verb,
     const char *subject);
--- a/marlctl/store.c
+++ b/marlctl/store.c
@@ -1,5 +1,5 @@
 /**
- * DOC: The KV service for an operator's tool: one blocking call at a time.
+ * DOC: Blocking client of the KV service, one HTTP request per call.
  */
 
 #include "marlctl.h"
@@ -7,7 +7,7 @@
 #include <curl/curl.h>
 #include <string.h>
 
-#define CALL_MS 5000L
+#define CALL_TIMEOUT_MS 5000L
 
 static size_t
 collect(char *data, size_t size, size_t n, void *arg)
@@ -17,7 +17,8 @@
 }
 
 static long
-call(const char *method, const char *url, GBytes *body, GByteArray *answer)
+http_call(
+    const char *method, const char *url, GBytes *body, GByteArray *response)
 {
 	CURL *easy = curl_easy_init();
 	gsize len = 0;
@@ -27,9 +28,9 @@
 	curl_easy_setopt(easy, CURLOPT_URL, url);
 	curl_easy_setopt(easy, CURLOPT_NOPROXY, "*");
 	curl_easy_setopt(easy, CURLOPT_CUSTOMREQUEST, method);
-	curl_easy_setopt(easy, CURLOPT_TIMEOUT_MS, CALL_MS);
+	curl_easy_setopt(easy, CURLOPT_TIMEOUT_MS, CALL_TIMEOUT_MS);
 	curl_easy_setopt(easy, CURLOPT_WRITEFUNCTION, collect);
-	curl_easy_setopt(easy, CURLOPT_WRITEDATA, answer);
+	curl_easy_setopt(easy, CURLOPT_WRITEDATA, response);
 	if (body != NULL) {
 		data = g_bytes_get_data(body, &len);
 		curl_easy_setopt(easy, CURLOPT_POSTFIELDSIZE, (long)len);
@@ -42,14 +43,14 @@
 }
 
 void
-store_get(const char *kv, const char *name, struct stored *out)
+store_get(const char *kv, const char *name, struct kv_value *out)
 {
 	char *url = g_strdup_printf("%s/v1/kv/%s", kv, name);
 	GByteArray *a = g_byte_array_new();
-	long status = call("GET", url, NULL, a);
+	long status = http_call("GET", url, NULL, a);
 
 	memset(out, 0, sizeof(*out));
-	out->answered = status == 200 || status == 404;
+	out->responded = status == 200 || status == 404;
 	if (status == 200)
 		out->value = mh_kv_value(a->data, a->len, &out->cas);
 	out->found = out->value != NULL;
@@ -58,24 +59,24 @@
 }
 
 void
-stored_clear(struct stored *s)
+kv_value_clear(struct kv_value *s)
 {
 	if (s->value != NULL)
 		g_bytes_unref(s->value);
 	memset(s, 0, sizeof(*s));
 }
 
-enum written
+enum put_result
 store_put(const char *kv, const char *name, uint64_t cas, GBytes *value)
 {
 	char *url = g_strdup_printf("%s/v1/kv/%s?cas=%" PRIu64, kv, name, cas);
 	GByteArray *a = g_byte_array_new();
-	long status = call("PUT", url, value, a);
+	long status = http_call("PUT", url, value, a);
 	bool ok = a->len >= 4 && memcmp(a->data, "true", 4) == 0;
 
 	g_byte_array_unref(a);
 	g_free(url);
 	if (status != 200)
-		return NO_ANSWER;
+		return NO_RESPONSE;
 	return ok ? WRITTEN : LOST_RACE;
 }
--- a/marlhoistd/http.c
+++ b/marlhoistd/http.c
@@ -1,6 +1,6 @@
 /**
- * DOC: Service "http": a caller's HTTP request becomes a typed message to
- * the entry, and the entry's replies become HTTP.
+ * DOC: Service "http": converts HTTP requests of callers to messages for the
+ * service "entry", and its replies to HTTP responses.
  */
 
 #include "marlhoistd.h"
@@ -55,12 +55,12 @@
 }
 
 /*
- * A connection that stayed open would be closed by our end, perhaps just when
- * its next request comes: that one's caller sees a reset.  With the answer it
- * hears of it in time.
+ * Asks the client to close a persistent connection while the process drains.
+ * Otherwise the process closes it at exit, possibly while the next request is
+ * arriving, and the caller sees a connection reset.
  */
 static void
-close_if_leaving(struct http *h, struct mh_http_req *r)
+close_if_draining(struct http *h, struct mh_http_req *r)
 {
 	if (mh_entry_draining(h->k))
 		mh_req_header_set(r, "Connection", "close");
@@ -77,7 +77,7 @@
 
 	if (mh_admin_serve(h->k, r))
 		return;
-	close_if_leaving(h, r);
+	close_if_draining(h, r);
 	if (mh_req_too_big(r)) {
 		reply_problem(
 		    r, 413, "body-too-large", "Send a body of at most 1 MiB.");
@@ -107,7 +107,7 @@
 }
 
 static void
-on_gone(void *arg, struct mh_http_req *r)
+on_disconnect(void *arg, struct mh_http_req *r)
 {
 	struct http *h = arg;
 	struct mh_msg *m = mh_msg_new(MH_MSG_GONE);
@@ -117,7 +117,7 @@
 }
 
 static void
-reply_whole(struct mh_http_req *r, const struct mh_reply_msg *m)
+reply_body(struct mh_http_req *r, const struct mh_reply_msg *m)
 {
 	char seconds[16];
 
@@ -144,12 +144,12 @@
 		mh_count(h->k, "http_reply_to_nobody", 1);
 		return;
 	}
-	close_if_leaving(h, r);
+	close_if_draining(h, r);
 	if (!p->stream) {
-		reply_whole(r, p);
+		reply_body(r, p);
 		return;
 	}
-	/* Does nothing when the stream was opened by an earlier part. */
+	/* Has no effect if an earlier message started the stream. */
 	mh_req_stream(r, p->status, "text/event-stream");
 	mh_req_stream_add(r, p->body);
 	if (p->last)
@@ -164,7 +164,7 @@
 		.cert_file = s->cert_file,
 		.key_file = s->key_file,
 		.on_request = on_request,
-		.on_gone = on_gone,
+		.on_gone = on_disconnect,
 		.arg = h };
 
 	h->k = mh_loop_kern(l);
--- a/marlhoistd/marlhoistd.c
+++ b/marlhoistd/marlhoistd.c
@@ -1,10 +1,10 @@
 /**
- * DOC: marlhoistd: the entry daemon, callers in, pipelines out.
+ * DOC: marlhoistd: the entry daemon, which runs pipelines for HTTP callers.
  */
 
 #include "marlhoistd.h"
 
-#define LINGER_US (1 * MH_US_PER_S) /* balancers notice /readyz */
+#define LINGER_US (1 * MH_US_PER_S) /* for load balancers to poll /readyz */
 
 static bool create(struct mh_daemon *d, GError **err);
 static void drain(struct mh_daemon *d);
--- a/marlload/marlload.c
+++ b/marlload/marlload.c
@@ -1,6 +1,7 @@
 /**
- * DOC: marlload: open-loop load on the entries, checked against the
- * stand-ins' audit.  Latency counts from the intended send time.
+ * DOC: marlload: open-loop load generator for entries.  Outcomes are compared
+ * with the calls that the stand-ins counted.  Latency is measured from the
+ * intended send time, so that delays of the generator itself are included.
  */
 
 #include "marlload.h"
@@ -12,12 +13,12 @@
 #include <string.h>
 
 #define TIMEOUT_EXTRA_US (2 * MH_US_PER_S)
-#define SETTLE_US (1500 * MH_US_PER_MS) /* late runs reach the audit */
-#define MAX_TRIES 3 /* entries that refuse the connection */
+#define AUDIT_DELAY_US (1500 * MH_US_PER_MS) /* for calls not yet counted */
+#define MAX_TRIES 3 /* connection attempts per request */
 
 static void read_args(struct load_args *a, int argc, char **argv);
 static void on_arrival(void *arg);
-static void send_shot(struct shot *s);
+static void send_request(struct load_request *s);
 static void maybe_finish(struct load *l);
 
 int
@@ -35,23 +36,23 @@
 		return 2;
 	}
 	l.client = mh_client_create(l.loop);
-	l.shots = trace_make(&l.a);
+	l.requests = trace_create(&l.a);
 	for (int i = 0; i < MH_PRIORITIES; i++)
-		l.first[i] = mh_hist_create();
-	l.between = mh_hist_create();
-	l.added = mh_hist_create();
+		l.first_token[i] = mh_hist_create();
+	l.between_tokens = mh_hist_create();
+	l.stage_added = mh_hist_create();
 	l.start_us = mh_now(l.k);
 	on_arrival(&l);
 	mh_loop_run(l.loop);
 	report(&l);
 	mh_kern_destroy(l.k);
 	mh_loop_destroy(l.loop);
-	g_ptr_array_unref(l.shots);
+	g_ptr_array_unref(l.requests);
 	json_decref(l.audit);
 	for (int i = 0; i < MH_PRIORITIES; i++)
-		mh_hist_destroy(l.first[i]);
-	mh_hist_destroy(l.between);
-	mh_hist_destroy(l.added);
+		mh_hist_destroy(l.first_token[i]);
+	mh_hist_destroy(l.between_tokens);
+	mh_hist_destroy(l.stage_added);
 	return 0;
 }
 
@@ -95,7 +96,7 @@
 	a->audit = audit->sval[0];
 	a->scenario = scenario->count > 0 ? scenario->sval[0] : "steady";
 	a->policy = policy->count > 0 ? policy->sval[0] : "policy";
-	a->json_file = series->count > 0 ? series->sval[0] : NULL;
+	a->series_file = series->count > 0 ? series->sval[0] : NULL;
 	a->only = only->count > 0 ? only->sval[0] : NULL;
 	a->tokens = tokens->count > 0 ? (uint32_t)tokens->ival[0] : 0;
 	a->rate = rate->count > 0 ? rate->dval[0] : 50;
@@ -106,7 +107,7 @@
 	a->seed = seed->count > 0 ? (uint32_t)seed->ival[0] : 1;
 	if (a->rate <= 0 || a->seconds < 1 || a->seconds > MAX_SECONDS)
 		usage("rate must be positive, seconds 1 to 600");
-	/* The table's strings live until the end of the process. */
+	/* The strings in @a belong to the table, which is never freed. */
 }
 
 static void
@@ -115,17 +116,18 @@
 	struct load *l = arg;
 	int64_t now = mh_now(l->k) - l->start_us;
 
-	while (l->next < l->shots->len) {
-		struct shot *s = l->shots->pdata[l->next];
+	while (l->next < l->requests->len) {
+		struct load_request *s = l->requests->pdata[l->next];
 
-		if (s->at_us > now) {
-			mh_timer_start(l->k, s->at_us - now, on_arrival, l);
+		if (s->intended_us > now) {
+			mh_timer_start(
+			    l->k, s->intended_us - now, on_arrival, l);
 			return;
 		}
 		l->next++;
-		l->open++;
+		l->in_flight++;
 		s->load = l;
-		send_shot(s);
+		send_request(s);
 	}
 	maybe_finish(l);
 }
@@ -133,19 +135,19 @@
 static bool
 on_data(void *arg, uint32_t status, const char *data, size_t len)
 {
-	struct shot *s = arg;
+	struct load_request *s = arg;
 	int64_t now = mh_now(s->load->k) - s->load->start_us;
 
 	(void)status;
-	g_string_append_len(s->text, data, (gssize)len);
-	if (!s->plan->stream ||
+	g_string_append_len(s->response, data, (gssize)len);
+	if (!s->kind->stream ||
 	    g_strstr_len(data, (gssize)len, "event: token") == NULL)
 		return true;
-	if (s->first_us == 0) {
-		s->first_us = now;
-		mh_hist_add(s->load->first[0], now - s->at_us);
+	if (s->first_token_us == 0) {
+		s->first_token_us = now;
+		mh_hist_add(s->load->first_token[0], now - s->intended_us);
 	} else {
-		mh_hist_add(s->load->between, now - s->last_chunk_us);
+		mh_hist_add(s->load->between_tokens, now - s->last_chunk_us);
 	}
 	s->last_chunk_us = now;
 	return true;
@@ -154,21 +156,21 @@
 static void
 on_done(void *arg, const struct mh_http_done *d)
 {
-	struct shot *s = arg;
+	struct load_request *s = arg;
 	struct load *l = s->load;
 
-	/* What a balancer does: an entry that refuses is passed over. */
+	/* Nothing was sent: tries the next entry, as a load balancer does. */
 	if (!d->sent && ++s->tries < MAX_TRIES) {
 		s->entry = (s->entry + 1) % l->a.nentries;
-		send_shot(s);
+		send_request(s);
 		return;
 	}
 	s->status = d->status;
 	s->done_us = mh_now(l->k) - l->start_us;
 	s->ended = true;
 	if (d->whole)
-		shot_verify(s);
-	l->open--;
+		request_verify(s);
+	l->in_flight--;
 	maybe_finish(l);
 }
 
@@ -182,36 +184,38 @@
 }
 
 static void
-send_shot(struct shot *s)
+send_request(struct load_request *s)
 {
 	struct load *l = s->load;
 	const char *headers[6] = { "Content-Type: application/json" };
 	struct mh_http_call call = { .method = "POST", .headers = headers };
 	char deadline[40];
-	char *auth = g_strconcat("Authorization: Bearer ", s->plan->key, NULL);
+	char *auth =
+	    g_strconcat("Authorization: Bearer ", s->kind->api_key, NULL);
 	char *url = g_strconcat(
-	    l->a.entries[s->entry], "/v1/pipelines/", s->plan->pipeline, NULL);
-	char *once = NULL;
+	    l->a.entries[s->entry], "/v1/pipelines/", s->kind->pipeline, NULL);
+	char *key_header = NULL;
 	int n = 1;
 
 	snprintf(deadline, sizeof(deadline), "Marl-Deadline-Ms: %" PRId64,
-	    (int64_t)(s->plan->deadline_us / MH_US_PER_MS));
+	    (int64_t)(s->kind->deadline_us / MH_US_PER_MS));
 	headers[n++] = auth;
 	headers[n++] = deadline;
-	if (s->once_given) {
-		if (s->once == NULL)
-			s->once = new_key(l);
-		once = g_strconcat("Idempotency-Key: ", s->once, NULL);
-		headers[n++] = once;
+	if (s->idem_key_given) {
+		if (s->idem_key == NULL)
+			s->idem_key = new_key(l);
+		key_header =
+		    g_strconcat("Idempotency-Key: ", s->idem_key, NULL);
+		headers[n++] = key_header;
 	}
 	call.url = url;
-	call.body = shot_body(s);
-	call.timeout_us = s->plan->deadline_us + TIMEOUT_EXTRA_US;
-	call.once = s->plan->never;
+	call.body = request_body(s);
+	call.timeout_us = s->kind->deadline_us + TIMEOUT_EXTRA_US;
+	call.once = s->kind->at_most_once;
 	s->sent_us = mh_now(l->k) - l->start_us;
 	mh_client_start(l->client, &call, on_data, on_done, s);
 	g_bytes_unref(call.body);
-	g_free(once);
+	g_free(key_header);
 	g_free(url);
 	g_free(auth);
 }
@@ -225,14 +229,16 @@
 
 	l->audit = json_loadb(data, len, 0, NULL);
 	if (l->audit == NULL) {
-		fprintf(stderr, "marlload: no audit; is marlstand alive?\n");
+		fprintf(stderr,
+		    "marlload: no valid audit; check that marlstand is "
+		    "running\n");
 		exit(1);
 	}
 	mh_loop_stop(l->loop);
 }
 
 static void
-ask_audit(void *arg)
+fetch_audit(void *arg)
 {
 	struct load *l = arg;
 	struct mh_http_call call = { .method = "GET",
@@ -247,6 +253,6 @@
 static void
 maybe_finish(struct load *l)
 {
-	if (l->next == l->shots->len && l->open == 0)
-		mh_timer_start(l->k, SETTLE_US, ask_audit, l);
+	if (l->next == l->requests->len && l->in_flight == 0)
+		mh_timer_start(l->k, AUDIT_DELAY_US, fetch_audit, l);
 }
--- a/marlload/marlload.h
+++ b/marlload/marlload.h
@@ -6,44 +6,44 @@
 #define REF_LEN 16
 #define MAX_ENTRIES 16
 #define MAX_SECONDS 600
-#define PLANS 5
+#define REQUEST_KINDS 5
 
-/** struct plan - one kind of request in the mix. */
-struct plan {
+/** struct request_kind - one kind of request in the generated mix. */
+struct request_kind {
 	const char *pipeline;
 	const char *org;
-	const char *key; /* the caller's bearer key */
+	const char *api_key; /* sent as bearer token */
 	const char *class;
-	double share;
-	double burst_share; /* share while a burst lasts */
+	double share; /* of all requests */
+	double burst_share; /* of the requests during a burst */
 	int64_t deadline_us;
-	uint32_t tokens; /* 0: a plain service */
-	bool never;
+	uint32_t tokens; /* to generate; 0: plain service without tokens */
+	bool at_most_once;
 	bool stream;
 };
 
-/** struct shot - one request of the trace. */
-struct shot {
-	const struct plan *plan;
-	int64_t at_us; /* intended, since the start */
-	char ref[REF_LEN + 1];
-	char *once; /* idempotency key, given or learned */
-	bool once_given;
-	uint32_t context;
+/** struct load_request - one request of the trace and its result. */
+struct load_request {
+	const struct request_kind *kind;
+	int64_t intended_us; /* intended send time, since the start */
+	char ref[REF_LEN + 1]; /* random tag, repeated in the response */
+	char *idem_key; /* sent, or assigned by the entry */
+	bool idem_key_given;
+	uint32_t context; /* which shared prompt prefix */
 	uint32_t entry;
 	uint32_t tokens;
-	/* what became of it */
+	/* result; times are since the start */
 	int64_t sent_us;
 	int64_t done_us;
-	int64_t first_us;
+	int64_t first_token_us;
 	int64_t last_chunk_us;
 	uint32_t status;
 	uint32_t tries;
 	bool ended;
-	bool right; /* whole and its own */
-	bool wrong; /* 200, but not whole or not its own */
+	bool correct; /* complete response with its own tag */
+	bool incorrect; /* outcome done, but not correct */
 	char *outcome;
-	GString *text;
+	GString *response;
 	struct load *load;
 };
 
@@ -53,12 +53,12 @@
 	const char *entries[MAX_ENTRIES];
 	uint32_t nentries;
 	const char *audit;
-	const char *json_file;
-	const char *only; /* one pipeline, NULL: the whole mix */
-	uint32_t tokens; /* to ask for, 0: as the plan says */
-	double rate;
-	double burst; /* times the rate */
-	double burst_from; /* share of the run */
+	const char *series_file;
+	const char *only; /* one pipeline; NULL: the whole mix */
+	uint32_t tokens; /* tokens per request; 0: as in struct request_kind */
+	double rate; /* requests per second */
+	double burst; /* factor of the rate during the burst; 1: none */
+	double burst_from; /* begin and end, as shares of the duration */
 	double burst_to;
 	uint32_t seconds;
 	uint32_t seed;
@@ -69,27 +69,33 @@
 	struct mh_kern *k;
 	struct mh_loop *loop;
 	struct mh_client *client;
-	GPtrArray *shots;
+	GPtrArray *requests;
 	guint next;
-	guint open;
+	guint in_flight;
 	int64_t start_us;
-	struct mh_hist *first[MH_PRIORITIES];
-	struct mh_hist *between;
-	struct mh_hist *added; /* of a stage over its endpoint's time */
+	struct mh_hist *first_token[MH_PRIORITIES]; /* only index 0 is filled */
+	struct mh_hist *between_tokens;
+	struct mh_hist *stage_added; /* stage latency minus endpoint time */
 	json_t *audit;
 };
 
-extern const struct plan plans[PLANS];
+extern const struct request_kind request_kinds[REQUEST_KINDS];
 
 /* trace.c */
-GPtrArray *trace_make(const struct load_args *a);
-GBytes *shot_body(const struct shot *s);
-void shot_free(void *arg);
+
+/** trace_create() - returns all struct load_request, ordered by send time. */
+GPtrArray *trace_create(const struct load_args *a);
+GBytes *request_body(const struct load_request *s);
+void request_free(void *arg);
 
 /* verify.c */
-void shot_verify(struct shot *s);
+
+/** request_verify() - sets the outcome and correctness from the response. */
+void request_verify(struct load_request *s);
 
 /* report.c */
+
+/** report() - prints the results of the run and writes the series files. */
 void report(struct load *l);
 
 #endif
--- a/marlload/report.c
+++ b/marlload/report.c
@@ -1,6 +1,7 @@
 /**
- * DOC: The figures of one run: attainment from outside, truth from the
- * stand-ins' audit, cost by stage.
+ * DOC: Prints the results of one run: the share of requests answered correctly
+ * within their deadline as seen by the client, violations found by comparing
+ * reported outcomes with the audit of the stand-ins, and the cost by stage.
  */
 
 #include "marlload.h"
@@ -12,13 +13,14 @@
 #define WEIGHT_CACHED 0.25
 #define WEIGHT_OUT 8.0
 
-/** struct truth - what the audit says against what callers were told. */
-struct truth {
-	uint32_t doubled;
-	uint32_t lost; /* told done, never ran */
-	uint32_t crossed; /* answered with another's or in part */
-	uint32_t false_not_run;
-	uint32_t unknown;
+/** struct violations - requests whose outcome contradicts the audit. */
+struct violations {
+	uint32_t doubled; /* ran more than once */
+	uint32_t lost; /* reported done but never ran */
+	uint32_t
+	    crossed; /* bodies of two requests mixed, or incorrect responses */
+	uint32_t false_not_run; /* reported not-run but ran */
+	uint32_t unknown; /* at-most-once requests without outcome, too */
 };
 
 static void
@@ -29,13 +31,14 @@
 }
 
 static bool
-attained(const struct shot *s)
+attained(const struct load_request *s)
 {
-	return s->right && s->done_us - s->at_us <= s->plan->deadline_us;
+	return s->correct &&
+	    s->done_us - s->intended_us <= s->kind->deadline_us;
 }
 
 static bool
-is_outcome(const struct shot *s, const char *what)
+is_outcome(const struct load_request *s, const char *what)
 {
 	return s->outcome != NULL && strcmp(s->outcome, what) == 0;
 }
@@ -44,10 +47,10 @@
 share_of(const struct load *l, const char *class, guint *n, guint *good)
 {
 	*n = *good = 0;
-	for (guint i = 0; i < l->shots->len; i++) {
-		const struct shot *s = l->shots->pdata[i];
+	for (guint i = 0; i < l->requests->len; i++) {
+		const struct load_request *s = l->requests->pdata[i];
 
-		if (class != NULL && strcmp(s->plan->class, class) != 0)
+		if (class != NULL && strcmp(s->kind->class, class) != 0)
 			continue;
 		(*n)++;
 		*good += attained(s);
@@ -56,21 +59,21 @@
 }
 
 static json_int_t
-runs_of(json_t *keys, const struct shot *s)
+runs_of(json_t *keys, const struct load_request *s)
 {
 	char *full;
 	json_int_t n;
 
-	if (s->once == NULL)
+	if (s->idem_key == NULL)
 		return 0;
-	full = g_strconcat(s->plan->org, "/", s->once, NULL);
+	full = g_strconcat(s->kind->org, "/", s->idem_key, NULL);
 	n = json_integer_value(json_object_get(keys, full));
 	g_free(full);
 	return n;
 }
 
 static void
-count_truth(const struct load *l, struct truth *t)
+count_violations(const struct load *l, struct violations *t)
 {
 	json_t *keys = json_object_get(l->audit, "keys"), *v;
 	const char *key;
@@ -82,13 +85,13 @@
 	}
 	t->crossed =
 	    (uint32_t)json_integer_value(json_object_get(l->audit, "crossed"));
-	for (guint i = 0; i < l->shots->len; i++) {
-		const struct shot *s = l->shots->pdata[i];
+	for (guint i = 0; i < l->requests->len; i++) {
+		const struct load_request *s = l->requests->pdata[i];
 
-		t->crossed += s->wrong;
+		t->crossed += s->incorrect;
 		t->unknown += is_outcome(s, "unknown") ||
-		    (s->plan->never && s->outcome == NULL);
-		if (!s->plan->never)
+		    (s->kind->at_most_once && s->outcome == NULL);
+		if (!s->kind->at_most_once)
 			continue;
 		if (is_outcome(s, "done") && runs_of(keys, s) == 0)
 			t->lost++;
@@ -150,13 +153,15 @@
 		char measure[64];
 		guint n = 0;
 
-		for (guint j = 0; j < l->shots->len; j++)
-			n += is_outcome(l->shots->pdata[j], names[i]);
+		for (guint j = 0; j < l->requests->len; j++)
+			n += is_outcome(l->requests->pdata[j], names[i]);
 		snprintf(measure, sizeof(measure), "outcome_%s", names[i]);
 		print(l, measure, n, "requests");
 	}
-	for (guint j = 0; j < l->shots->len; j++)
-		none += ((struct shot *)l->shots->pdata[j])->outcome == NULL;
+	for (guint j = 0; j < l->requests->len; j++)
+		none +=
+		    ((struct load_request *)l->requests->pdata[j])->outcome ==
+		    NULL;
 	print(l, "outcome_none", none, "requests");
 }
 
@@ -167,20 +172,21 @@
 	guint n[MAX_SECONDS] = { 0 }, good[MAX_SECONDS] = { 0 };
 	guint un[MAX_SECONDS] = { 0 }, ugood[MAX_SECONDS] = { 0 };
 
-	if (l->a.json_file == NULL)
+	if (l->a.series_file == NULL)
 		return;
-	f = fopen(l->a.json_file, "w");
+	f = fopen(l->a.series_file, "w");
 	if (f == NULL) {
-		fprintf(stderr, "marlload: cannot write %s\n", l->a.json_file);
+		fprintf(
+		    stderr, "marlload: cannot write %s\n", l->a.series_file);
 		return;
 	}
-	for (guint i = 0; i < l->shots->len; i++) {
-		const struct shot *s = l->shots->pdata[i];
-		guint sec = (guint)(s->at_us / MH_US_PER_S);
+	for (guint i = 0; i < l->requests->len; i++) {
+		const struct load_request *s = l->requests->pdata[i];
+		guint sec = (guint)(s->intended_us / MH_US_PER_S);
 
 		n[sec]++;
 		good[sec] += attained(s);
-		if (strcmp(s->plan->class, "urgent") == 0) {
+		if (strcmp(s->kind->class, "urgent") == 0) {
 			un[sec]++;
 			ugood[sec] += attained(s);
 		}
@@ -192,33 +198,33 @@
 	fclose(f);
 }
 
-/* One line for each request that was not served in time. */
+/* Writes a line for each request that was not answered in time. */
 static void
 write_misses(const struct load *l)
 {
 	char *name;
 	FILE *f;
 
-	if (l->a.json_file == NULL)
+	if (l->a.series_file == NULL)
 		return;
-	name = g_strconcat(l->a.json_file, ".misses", NULL);
+	name = g_strconcat(l->a.series_file, ".misses", NULL);
 	f = fopen(name, "w");
 	g_free(name);
 	if (f == NULL)
 		return;
-	for (guint i = 0; i < l->shots->len; i++) {
-		const struct shot *s = l->shots->pdata[i];
+	for (guint i = 0; i < l->requests->len; i++) {
+		const struct load_request *s = l->requests->pdata[i];
 
 		if (attained(s))
 			continue;
 		fprintf(f,
 		    "at=%.3f took=%.3f %s entry=%u status=%u given=%d "
 		    "outcome=%s text=%.300s\n",
-		    (double)s->at_us / MH_US_PER_S,
-		    (double)(s->done_us - s->at_us) / MH_US_PER_S,
-		    s->plan->pipeline, s->entry, s->status, s->once_given,
+		    (double)s->intended_us / MH_US_PER_S,
+		    (double)(s->done_us - s->intended_us) / MH_US_PER_S,
+		    s->kind->pipeline, s->entry, s->status, s->idem_key_given,
 		    s->outcome == NULL ? "-" : s->outcome,
-		    s->right ? "late" : s->text->str);
+		    s->correct ? "late" : s->response->str);
 	}
 	fclose(f);
 }
@@ -228,7 +234,7 @@
 {
 	static const char *const classes[] = { "urgent", "interactive",
 		"batch" };
-	struct truth t;
+	struct violations t;
 	guint n, good;
 	char measure[64];
 
@@ -240,7 +246,7 @@
 	}
 	print(l, "attained_all", share_of(l, NULL, &n, &good), "share");
 	print(l, "offered", n, "requests");
-	count_truth(l, &t);
+	count_violations(l, &t);
 	print(l, "doubled", t.doubled, "requests");
 	print(l, "lost", t.lost, "requests");
 	print(l, "crossed", t.crossed, "requests");
@@ -249,13 +255,15 @@
 	print_outcomes(l);
 	print_cost(l, good);
 	print(l, "first_token_p50",
-	    (double)mh_hist_at(l->first[0], 0.5) / MH_US_PER_MS, "ms");
+	    (double)mh_hist_at(l->first_token[0], 0.5) / MH_US_PER_MS, "ms");
 	print(l, "first_token_p95",
-	    (double)mh_hist_at(l->first[0], 0.95) / MH_US_PER_MS, "ms");
+	    (double)mh_hist_at(l->first_token[0], 0.95) / MH_US_PER_MS, "ms");
 	print(l, "between_tokens_p95",
-	    (double)mh_hist_at(l->between, 0.95) / MH_US_PER_MS, "ms");
-	print(l, "stage_added_p50", (double)mh_hist_at(l->added, 0.5), "us");
-	print(l, "stage_added_p99", (double)mh_hist_at(l->added, 0.99), "us");
+	    (double)mh_hist_at(l->between_tokens, 0.95) / MH_US_PER_MS, "ms");
+	print(l, "stage_added_p50", (double)mh_hist_at(l->stage_added, 0.5),
+	    "us");
+	print(l, "stage_added_p99", (double)mh_hist_at(l->stage_added, 0.99),
+	    "us");
 	write_series(l);
 	write_misses(l);
 }
--- a/marlload/trace.c
+++ b/marlload/trace.c
@@ -1,5 +1,6 @@
 /**
- * DOC: The arrival trace: open loop, seeded, the same for every policy.
+ * DOC: Generates the arrivals: open loop, from a seed, so that each policy gets
+ * the same requests.
  */
 
 #include "marlload.h"
@@ -9,9 +10,9 @@
 
 #define CONTEXTS 24
 #define CONTEXT_BYTES 4000
-#define GIVEN_SHARE 0.5 /* of non-repeatable calls bring their own key */
+#define KEY_GIVEN_SHARE 0.5 /* of at-most-once requests send a key */
 
-const struct plan plans[PLANS] = {
+const struct request_kind request_kinds[REQUEST_KINDS] = {
 	{ "dispatch-order", "carga-viva", "volt-key", "urgent", 0.20, 0.10,
 	    1500 * MH_US_PER_MS, 0, true, false },
 	{ "confirm-booking", "confetti", "party-key", "urgent", 0.15, 0.05,
@@ -31,61 +32,63 @@
 	    t < a->burst_to * a->seconds;
 }
 
-static const struct plan *
-choose(GRand *g, bool burst)
+static const struct request_kind *
+choose_kind(GRand *g, bool burst)
 {
 	double u = g_rand_double(g);
 
-	for (int i = 0; i < PLANS; i++) {
-		u -= burst ? plans[i].burst_share : plans[i].share;
+	for (int i = 0; i < REQUEST_KINDS; i++) {
+		u -= burst ? request_kinds[i].burst_share
+			   : request_kinds[i].share;
 		if (u < 0)
-			return &plans[i];
+			return &request_kinds[i];
 	}
-	return &plans[PLANS - 1];
+	return &request_kinds[REQUEST_KINDS - 1];
 }
 
-static const struct plan *
-plan_named(const char *pipeline)
+static const struct request_kind *
+kind_by_pipeline(const char *pipeline)
 {
-	for (int i = 0; i < PLANS; i++) {
-		if (strcmp(plans[i].pipeline, pipeline) == 0)
-			return &plans[i];
+	for (int i = 0; i < REQUEST_KINDS; i++) {
+		if (strcmp(request_kinds[i].pipeline, pipeline) == 0)
+			return &request_kinds[i];
 	}
-	return &plans[0];
+	return &request_kinds[0];
 }
 
-static struct shot *
-new_shot(const struct load_args *a, GRand *g, double t)
+static struct load_request *
+new_request(const struct load_args *a, GRand *g, double t)
 {
-	struct shot *s = g_new0(struct shot, 1);
+	struct load_request *s = g_new0(struct load_request, 1);
 
-	s->plan = choose(g, in_burst(a, t));
+	s->kind = choose_kind(g, in_burst(a, t));
 	if (a->only != NULL)
-		s->plan = plan_named(a->only);
-	s->tokens = s->plan->tokens;
+		s->kind = kind_by_pipeline(a->only);
+	s->tokens = s->kind->tokens;
 	if (a->tokens > 0 && s->tokens > 0)
 		s->tokens = a->tokens;
-	s->at_us = (int64_t)(t * MH_US_PER_S);
+	s->intended_us = (int64_t)(t * MH_US_PER_S);
 	for (int i = 0; i < REF_LEN; i += 8)
 		snprintf(s->ref + i, 9, "%08x", g_rand_int(g));
 	s->context = (uint32_t)g_rand_int_range(g, 0, CONTEXTS);
 	s->entry = g_rand_int(g) % a->nentries;
-	s->once_given = s->plan->never && g_rand_double(g) < GIVEN_SHARE;
-	s->text = g_string_new(NULL);
+	s->idem_key_given =
+	    s->kind->at_most_once && g_rand_double(g) < KEY_GIVEN_SHARE;
+	s->response = g_string_new(NULL);
 	return s;
 }
 
 GPtrArray *
-trace_make(const struct load_args *a)
+trace_create(const struct load_args *a)
 {
 	GRand *g = g_rand_new_with_seed(a->seed);
-	GPtrArray *out = g_ptr_array_new_with_free_func(shot_free);
+	GPtrArray *out = g_ptr_array_new_with_free_func(request_free);
 	double t = 0;
 
 	while (t < a->seconds) {
 		double rate = a->rate * (in_burst(a, t) ? a->burst : 1);
 
-		g_ptr_array_add(out, new_shot(a, g, t));
+		g_ptr_array_add(out, new_request(a, g, t));
 		t -= log(1 - g_rand_double(g)) / rate;
 	}
 	g_rand_free(g);
@@ -93,30 +96,30 @@
 }
 
 void
-shot_free(void *arg)
+request_free(void *arg)
 {
-	struct shot *s = arg;
+	struct load_request *s = arg;
 
-	g_free(s->once);
+	g_free(s->idem_key);
 	g_free(s->outcome);
-	g_string_free(s->text, TRUE);
+	g_string_free(s->response, TRUE);
 	g_free(s);
 }
 
-/* Requests of one context share a long beginning, as one plant's do. */
+/* Returns a long prompt prefix that all requests of one context share. */
 static char *
-make_context(const struct shot *s)
+make_context(const struct load_request *s)
 {
 	GString *c = g_string_new(NULL);
 
 	for (int i = 0; c->len < CONTEXT_BYTES; i++)
 		g_string_append_printf(c, "%s history %u line %d load 42 MW. ",
-		    s->plan->org, s->context, i);
+		    s->kind->org, s->context, i);
 	return g_string_free(c, FALSE);
 }
 
 GBytes *
-shot_body(const struct shot *s)
+request_body(const struct load_request *s)
 {
 	char *input = g_strdup_printf("ref:%s", s->ref), *text, *context;
 	json_t *o;
@@ -127,7 +130,7 @@
 		context = make_context(s);
 		o = json_pack("{s:s, s:s, s:i, s:b}", "input", input, "context",
 		    context, "max_tokens", (int)s->tokens, "stream",
-		    s->plan->stream);
+		    s->kind->stream);
 		g_free(context);
 	}
 	text = json_dumps(o, JSON_COMPACT);
--- a/marlload/verify.c
+++ b/marlload/verify.c
@@ -1,6 +1,7 @@
 /**
- * DOC: Is an answer whole and its own?  Every token carries its number and
- * the request's tag, every confirmation the tag.
+ * DOC: Checks that a response is complete and belongs to its request: each
+ * token contains its sequence number and the tag of the request, and each
+ * confirmation contains the tag.
  */
 
 #include "marlload.h"
@@ -8,7 +9,7 @@
 #include <string.h>
 
 static bool
-whole_text(const struct shot *s, const char *text)
+is_complete_text(const struct load_request *s, const char *text)
 {
 	GString *want = g_string_new(NULL);
 	bool same;
@@ -21,7 +22,7 @@
 }
 
 static void
-take_stages(struct shot *s, json_t *stages)
+record_stages(struct load_request *s, json_t *stages)
 {
 	json_t *row;
 	size_t i;
@@ -33,33 +34,33 @@
 		    json_integer_value(json_object_get(row, "endpoint_us"));
 
 		if (json_integer_value(json_object_get(row, "attempts")) == 1)
-			mh_hist_add(s->load->added, us - endpoint_us);
+			mh_hist_add(s->load->stage_added, us - endpoint_us);
 	}
 }
 
 static void
-take_done(struct shot *s, json_t *o, const char *text)
+check_answer(struct load_request *s, json_t *o, const char *text)
 {
 	json_t *answer = json_object_get(o, "answer");
 	const char *key = json_string_value(json_object_get(o, "key"));
 	const char *ref;
 
-	if (key != NULL && s->once == NULL)
-		s->once = g_strdup(key);
-	take_stages(s, json_object_get(o, "stages"));
+	if (key != NULL && s->idem_key == NULL)
+		s->idem_key = g_strdup(key);
+	record_stages(s, json_object_get(o, "stages"));
 	if (s->tokens > 0) {
 		if (text == NULL)
 			text = json_string_value(answer);
-		s->right = text != NULL && whole_text(s, text);
+		s->correct = text != NULL && is_complete_text(s, text);
 	} else {
 		ref = json_string_value(json_object_get(answer, "ref"));
-		s->right = ref != NULL && strcmp(ref, s->ref) == 0;
+		s->correct = ref != NULL && strcmp(ref, s->ref) == 0;
 	}
-	s->wrong = !s->right;
+	s->incorrect = !s->correct;
 }
 
 static void
-take_object(struct shot *s, json_t *o, const char *text)
+read_outcome(struct load_request *s, json_t *o, const char *text)
 {
 	const char *outcome = json_string_value(json_object_get(o, "outcome"));
 	const char *key = json_string_value(json_object_get(o, "key"));
@@ -67,15 +68,15 @@
 	g_free(s->outcome);
 	s->outcome = g_strdup(outcome);
 	if (outcome != NULL && strcmp(outcome, "done") == 0 && s->status == 200)
-		take_done(s, o, text);
-	else if (key != NULL && s->once == NULL)
-		s->once = g_strdup(key);
+		check_answer(s, o, text);
+	else if (key != NULL && s->idem_key == NULL)
+		s->idem_key = g_strdup(key);
 }
 
 static void
-verify_stream(struct shot *s)
+verify_stream(struct load_request *s)
 {
-	char **events = g_strsplit(s->text->str, "\n\n", -1);
+	char **events = g_strsplit(s->response->str, "\n\n", -1);
 	GString *text = g_string_new(NULL);
 
 	for (int i = 0; events[i] != NULL; i++) {
@@ -89,7 +90,7 @@
 			g_string_append(text,
 			    json_string_value(json_object_get(o, "text")));
 		else
-			take_object(s, o, text->str);
+			read_outcome(s, o, text->str);
 		json_decref(o);
 	}
 	g_string_free(text, TRUE);
@@ -97,16 +98,16 @@
 }
 
 void
-shot_verify(struct shot *s)
+request_verify(struct load_request *s)
 {
 	json_t *o;
 
-	if (s->plan->stream && s->status == 200) {
+	if (s->kind->stream && s->status == 200) {
 		verify_stream(s);
 		return;
 	}
-	o = json_loadb(s->text->str, s->text->len, 0, NULL);
+	o = json_loadb(s->response->str, s->response->len, 0, NULL);
 	if (o != NULL)
-		take_object(s, o, NULL);
+		read_outcome(s, o, NULL);
 	json_decref(o);
 }
--- a/marlsided/marlsided.c
+++ b/marlsided/marlsided.c
@@ -1,5 +1,6 @@
 /**
- * DOC: marlsided: the side process, the only way into its endpoint.
+ * DOC: marlsided: the side process, through which all calls to its endpoint
+ * pass.
  */
 
 #include "marlhoist.h"
--- a/marlslope/marlslope.c
+++ b/marlslope/marlslope.c
@@ -1,10 +1,11 @@
 /**
- * DOC: How control costs grow with nodes, links, organisations and changes.
+ * DOC: marlslope: measures how the control overhead grows with nodes, links,
+ * configuration changes and ledger rows.
  *
- * Real decision services in virtual time over the tests' fakes: frames,
- * bytes, platform calls and processor time are counted while nobody asks
- * for anything, so all of it is control.  Each line names what was varied;
- * the fit is a least-squares line through the points above it.
+ * Runs the real decision services in virtual time over the fake network and
+ * platform of the tests.  No requests are sent, so that all bytes and platform
+ * calls counted are control traffic.  Each output line names the parameter
+ * that was varied; a fit is a least-squares line through the points above it.
  */
 
 #include "net.h"
@@ -19,7 +20,7 @@
 #define MEASURE_S 20
 #define MAX_POINTS 8
 
-/** struct point - one measured x and its figure. */
+/** struct point - value of the varied parameter and the measurement. */
 struct point {
 	double x;
 	double y;
@@ -54,16 +55,16 @@
 	b = (s->n * sxy - sx * sy) / (s->n * sxx - sx * sx);
 	a = (sy - b * sx) / s->n;
 	for (int i = 0; i < s->n; i++) {
-		double off = s->p[i].y - (a + b * s->p[i].x);
+		double residual = s->p[i].y - (a + b * s->p[i].x);
 
-		worst = MAX(worst, off < 0 ? -off : off);
+		worst = MAX(worst, residual < 0 ? -residual : residual);
 	}
 	printf("fit %s y = %.4f + %.6f x, worst off by %.4f %s\n", s->name, a,
 	    b, worst, s->unit);
 }
 
 static struct net *
-make(int entries, int pools, int per_pool, const char *doc)
+create_net(int entries, int pools, int per_pool, const char *doc)
 {
 	static const char *const names[] = { "enc", "ret", "rer", "llm" };
 	struct net *n = net_create(1);
@@ -86,13 +87,13 @@
 	return n;
 }
 
-/** struct idle - one deployment's control costs a second. */
+/** struct idle - control overhead of a deployment, per second. */
 struct idle {
-	double entry_bytes;
-	double side_bytes;
-	double kv_calls;
-	double list_reads;
-	double cpu_us; /* of a node */
+	double entry_bytes; /* per entry */
+	double side_bytes; /* per side process */
+	double kv_calls; /* of all nodes */
+	double list_reads; /* of all nodes */
+	double cpu_us; /* per node */
 };
 
 static uint64_t
@@ -126,7 +127,7 @@
 static void
 measure_idle(int entries, int pools, int per_pool, struct idle *out)
 {
-	struct net *n = make(entries, pools, per_pool, net_doc);
+	struct net *n = create_net(entries, pools, per_pool, net_doc);
 	double e = bytes_of(n, "entry"), s = bytes_of(n, "side");
 	double r = reads_of(n), k = (double)n->kv_calls;
 	clock_t c = clock();
@@ -142,7 +143,7 @@
 	net_destroy(n);
 }
 
-/* About five endpoints an entry, as at full size. */
+/* Five endpoints per entry, about the ratio of a full-size deployment. */
 static void
 by_nodes(void)
 {
@@ -170,7 +171,7 @@
 	fit(&lr);
 }
 
-/* One entry's links grow with the pools, twenty each. */
+/* Varies the pools; a pool counts as 20 links, the minimum of lib/subset.c. */
 static void
 by_links(void)
 {
@@ -187,7 +188,7 @@
 }
 
 static char *
-doc_with_orgs(int orgs, uint64_t turn)
+doc_with_orgs(int orgs, uint64_t generation)
 {
 	GString *s = g_string_new(net_doc);
 
@@ -200,13 +201,13 @@
 		sodium_bin2hex(hex, sizeof(hex), hash, sizeof(hash));
 		g_string_append_printf(s,
 		    "  - {name: o%d, units_per_s: %d, keys: [{hash: %s}]}\n", i,
-		    i == orgs / 2 ? (int)(1000 + turn) : 1000, hex);
+		    i == orgs / 2 ? (int)(1000 + generation) : 1000, hex);
 	}
 	return g_string_free(s, FALSE);
 }
 
 static bool
-all_have(struct net *n, uint64_t generation)
+all_applied(struct net *n, uint64_t generation)
 {
 	for (guint i = 0; i < n->nodes->len; i++) {
 		struct net_node *x = n->nodes->pdata[i];
@@ -217,7 +218,10 @@
 	return true;
 }
 
-/* Applies as marlctl does: the head carries the delta from before. */
+/*
+ * Applies a document as marlctl does, with the delta from the one before in the
+ * head.  Returns the seconds until all nodes use it, at most about 20.
+ */
 static double
 apply_and_wait(struct net *n, uint64_t generation, int orgs)
 {
@@ -226,15 +230,15 @@
 	int64_t start = net_now(n);
 
 	net_apply_delta(n, generation, doc, old);
-	while (
-	    !all_have(n, generation) && net_now(n) - start < 20 * MH_US_PER_S)
+	while (!all_applied(n, generation) &&
+	    net_now(n) - start < 20 * MH_US_PER_S)
 		net_run(n, 10 * MH_US_PER_MS);
 	g_free(doc);
 	g_free(old);
 	return (double)(net_now(n) - start) / MH_US_PER_S;
 }
 
-/* Changes: how long until everywhere, what each costs a node. */
+/* Delay until all nodes use a change, and its cost in bytes and KV calls. */
 static void
 by_changes(void)
 {
@@ -248,7 +252,7 @@
 
 	for (size_t i = 0; i < G_N_ELEMENTS(entries); i++) {
 		char *doc = doc_with_orgs(200, 1);
-		struct net *n = make(entries[i], 1, entries[i] * 5, doc);
+		struct net *n = create_net(entries[i], 1, entries[i] * 5, doc);
 		double worst = 0, bytes, calls, idle, nodes = n->nodes->len;
 
 		bytes = (double)n->bytes;
@@ -274,7 +278,7 @@
 	fit(&k);
 }
 
-/* Ledger rows: memory and the time of a hand-over's frame. */
+/* Processor time to add and end a ledger row. */
 static void
 by_rows(void)
 {
