--- a/marlstand/engine.c
+++ b/marlstand/engine.c
@@ -1,9 +1,10 @@
 /**
- * DOC: Stand-in model engine: continuous batching in steps.
+ * DOC: Stand-in for a model engine with continuous batching.
  *
- * Each step takes a base time and a little for every running sequence, plus
- * the prefill of sequences that join; each running sequence then gets one
- * token.  Leading blocks of a prompt are kept in a limited prefix cache.
+ * A step takes a base time, a time for each running sequence and the prefill
+ * time of the sequences that were added.  At its end each running sequence
+ * gets one token.  The leading blocks of prompts are kept in a prefix cache of
+ * limited size with LRU replacement.
  */
 
 #include "marlstand.h"
@@ -14,28 +15,29 @@
 #define BYTES_PER_TOKEN 4
 #define ANSWER_MARK "\nAnswer:"
 
+/** struct seq - one request that generates tokens. */
 struct seq {
 	uint64_t req;
 	char ref[REF_LEN + 1];
 	uint32_t priority;
-	uint64_t order;
+	uint64_t order; /* of arrival */
 	uint32_t next; /* number of the next token */
-	uint32_t end;
-	uint32_t made;
+	uint32_t end; /* number after the last token */
+	uint32_t generated; /* tokens sent */
 	uint32_t prompt_tokens;
 	uint32_t cached_tokens;
 	GString *prompt;
-	bool opened;
+	bool streaming;
 };
 
 struct engine {
 	struct endpoint *e;
-	GPtrArray *running;
+	GPtrArray *running; /* struct seq */
 	GPtrArray *waiting;
 	GHashTable *cache; /* block hash -> list node */
 	GQueue lru; /* block hashes, newest first */
 	uint64_t order;
-	struct mh_timer *step;
+	struct mh_timer *step_timer;
 	int64_t step_us;
 };
 
@@ -51,7 +53,7 @@
 }
 
 static void
-touch(struct engine *g, uint64_t hash)
+touch_block(struct engine *g, uint64_t hash)
 {
 	GList *n = g_hash_table_lookup(g->cache, &hash);
 	uint64_t *key;
@@ -73,7 +75,7 @@
 	}
 }
 
-/* How many bytes of the prompt's beginning are cached; caches the rest. */
+/* Returns the length of the cached prompt prefix, then caches all blocks. */
 static uint32_t
 cached_bytes(struct engine *g, const char *prompt, size_t len)
 {
@@ -89,13 +91,17 @@
 			hit += BLOCK_BYTES;
 		else
 			miss = true;
-		touch(g, hash);
+		touch_block(g, hash);
 	}
 	return hit;
 }
 
+/*
+ * After a stream failover the prompt contains the tokens that were already
+ * generated.  Counts them, so that numbering continues.
+ */
 static uint32_t
-count_tokens(const char *prompt)
+count_answer_tokens(const char *prompt)
 {
 	const char *mark = strstr(prompt, ANSWER_MARK);
 	uint32_t n = 0;
@@ -110,9 +116,10 @@
 static void
 arm(struct engine *g)
 {
-	if (g->step != NULL || (g->running->len == 0 && g->waiting->len == 0))
+	if (g->step_timer != NULL ||
+	    (g->running->len == 0 && g->waiting->len == 0))
 		return;
-	g->step = mh_timer_start(g->e->w->k, g->step_us, on_step, g);
+	g->step_timer = mh_timer_start(g->e->w->k, g->step_us, on_step, g);
 }
 
 static struct seq *
@@ -131,9 +138,9 @@
 	return g_ptr_array_steal_index(g->waiting, best);
 }
 
-/* Sequences that join this step; returns their prefill time. */
+/* Starts waiting sequences; returns their total prefill time. */
 static int64_t
-admit(struct engine *g)
+start_waiting(struct engine *g)
 {
 	struct endpoint *e = g->e;
 	double us = 0;
@@ -151,7 +158,7 @@
 		us += (double)(s->prompt_tokens - s->cached_tokens) /
 		    e->spec.prefill_per_s * MH_US_PER_S;
 		e->w->runs++;
-		(void)endpoint_try_fall(e, s->prompt->str, s->prompt->len);
+		(void)endpoint_check_fatal(e, s->prompt->str, s->prompt->len);
 		g_ptr_array_add(g->running, s);
 	}
 	return (int64_t)us;
@@ -171,23 +178,23 @@
 }
 
 static void
-end_seq(struct engine *g, struct seq *s, struct mh_http_req *r)
+finish_seq(struct engine *g, struct seq *s, struct mh_http_req *r)
 {
 	GBytes *b = g_bytes_new_static("data: [DONE]\n\n", 14);
 
 	send_event(r,
 	    json_pack("{s:[], s:{s:i, s:i, s:i}}", "choices", "usage",
 		"prompt_tokens", (int)s->prompt_tokens, "completion_tokens",
-		(int)s->made, "cached_tokens", (int)s->cached_tokens));
+		(int)s->generated, "cached_tokens", (int)s->cached_tokens));
 	mh_req_stream_add(r, b);
 	mh_req_stream_end(r);
 	g_bytes_unref(b);
-	g->e->tokens_out += s->made;
+	g->e->tokens_out += s->generated;
 }
 
-/* One token; false when the sequence has ended. */
+/* Sends one token; returns false when the sequence is finished. */
 static bool
-emit(struct engine *g, struct seq *s)
+emit_token(struct engine *g, struct seq *s)
 {
 	struct mh_http_req *r = mh_httpd_find(g->e->httpd, s->req);
 	char text[64];
@@ -196,25 +203,25 @@
 		return false;
 	if (g->e->fault == FAULT_SILENT)
 		return true;
-	if (g->e->fault == FAULT_ERROR && !s->opened) {
+	if (g->e->fault == FAULT_ERROR && !s->streaming) {
 		reply_json(r, 500, json_pack("{s:s}", "error", "stand-in"));
 		return false;
 	}
 	if (g->e->fault == FAULT_ERROR ||
-	    (g->e->fault == FAULT_CUT && s->made > 2)) {
+	    (g->e->fault == FAULT_CUT && s->generated > 2)) {
 		mh_req_cut(r);
 		return false;
 	}
-	if (!s->opened)
+	if (!s->streaming)
 		mh_req_stream(r, 200, "text/event-stream");
-	s->opened = true;
+	s->streaming = true;
 	snprintf(text, sizeof(text), " w%u.%s", s->next, s->ref);
 	send_event(r, json_pack("{s:[{s:s}]}", "choices", "text", text));
 	s->next++;
-	s->made++;
+	s->generated++;
 	if (s->next < s->end)
 		return true;
-	end_seq(g, s, r);
+	finish_seq(g, s, r);
 	return false;
 }
 
@@ -225,14 +232,14 @@
 	const struct spec *sp = &g->e->spec;
 	int64_t prefill;
 
-	g->step = NULL;
+	g->step_timer = NULL;
 	for (guint i = 0; i < g->running->len;) {
-		if (emit(g, g->running->pdata[i]))
+		if (emit_token(g, g->running->pdata[i]))
 			i++;
 		else
 			g_ptr_array_remove_index(g->running, i);
 	}
-	prefill = admit(g);
+	prefill = start_waiting(g);
 	g->step_us =
 	    sp->step_us + sp->per_seq_us * (int64_t)g->running->len + prefill;
 	if (g->e->fault == FAULT_SLOW)
@@ -262,13 +269,13 @@
 	s->prompt = g_string_new(prompt);
 	s->priority =
 	    (uint32_t)json_integer_value(json_object_get(in, "priority"));
-	s->next = count_tokens(prompt);
+	s->next = count_answer_tokens(prompt);
 	s->end = s->next +
 	    (uint32_t)json_integer_value(json_object_get(in, "max_tokens"));
 	find_ref(g->e->w, mh_req_body(r), s->ref);
 	json_decref(in);
 	g_ptr_array_add(g->waiting, s);
-	if (g->step == NULL)
+	if (g->step_timer == NULL)
 		g->step_us = 2 * g->e->spec.delay_us;
 	arm(g);
 }
@@ -285,7 +292,7 @@
 }
 
 void
-engine_gone(struct engine *g, struct mh_http_req *r)
+engine_cancel(struct engine *g, struct mh_http_req *r)
 {
 	g->e->cancelled++;
 	remove_req(g->running, mh_req_id(r));
@@ -306,7 +313,7 @@
 }
 
 void
-engine_drop_all(struct engine *g)
+engine_cut_all(struct engine *g)
 {
 	cut_all(g, g->running);
 	cut_all(g, g->waiting);
@@ -330,7 +337,7 @@
 {
 	uint64_t *key;
 
-	mh_timer_stop(g->e->w->k, &g->step);
+	mh_timer_stop(g->e->w->k, &g->step_timer);
 	g_ptr_array_free(g->running, TRUE);
 	g_ptr_array_free(g->waiting, TRUE);
 	while ((key = g_queue_pop_head(&g->lru)) != NULL)
--- a/marlstand/kvstand.c
+++ b/marlstand/kvstand.c
@@ -1,7 +1,8 @@
 /**
- * DOC: Stand-in platform: a KV service in the Consul KV form (?cas=, blocking
- * queries) and a lagging VM list; outages, slowness and answers lost after
- * the write took effect, on command.
+ * DOC: Stand-in for the platform: a KV service with the HTTP interface of
+ * Consul (?cas=, blocking queries) and a VM list that is updated with a delay.
+ * Tests can inject outages, delays and lost responses to writes that took
+ * effect.
  */
 
 #include "marlstand.h"
@@ -9,40 +10,40 @@
 #include <string.h>
 
 #define KV_PREFIX "/v1/kv/"
-#define DEFAULT_US 2000 /* "it answers in milliseconds" */
+#define DEFAULT_DELAY_US 2000 /* the platform responds in milliseconds */
 #define MAX_WAIT_US (60 * MH_US_PER_S)
-#define MAX_VALUE (1U << 20)
+#define MAX_VALUE_BYTES (1U << 20)
 
 struct value {
 	GBytes *data;
 	uint64_t index;
 };
 
-/** struct held - a call that waits: a watch, or a delayed answer. */
-struct held {
+/** struct delayed_get - a blocking query or a GET with delayed response. */
+struct delayed_get {
 	struct platform *p;
 	uint64_t req;
 	char *name;
-	uint64_t index;
-	bool watch;
+	uint64_t index; /* that the client has seen */
+	bool watch; /* blocking query: respond when the value is written */
 	struct mh_timer *timer;
 };
 
 struct platform {
 	struct world *w;
 	GHashTable *values; /* name -> struct value */
-	GHashTable *held; /* req -> struct held */
-	uint64_t index;
+	GHashTable *delayed; /* req -> struct delayed_get */
+	uint64_t index; /* of the last write */
 	bool down;
-	int64_t delay_us;
-	double lose_answers; /* share of writes whose answer is lost */
+	int64_t delay_us; /* of responses to GET */
+	double lost_share; /* share of writes without response */
 	uint64_t reads;
 	uint64_t writes;
-	char *vms; /* what the list shows */
-	char *vms_next;
+	char *vms; /* JSON list that is served */
+	char *vms_next; /* served after the lag */
 	int64_t lag_us;
 	bool vms_down;
-	struct mh_timer *lag;
+	struct mh_timer *lag_timer;
 };
 
 static struct platform *
@@ -61,9 +62,9 @@
 }
 
 static void
-free_held(void *arg)
+free_delayed(void *arg)
 {
-	struct held *h = arg;
+	struct delayed_get *h = arg;
 
 	mh_timer_stop(h->p->w->k, &h->timer);
 	g_free(h->name);
@@ -80,7 +81,7 @@
 }
 
 static void
-answer_get(struct platform *p, struct mh_http_req *r, const char *name)
+reply_get(struct platform *p, struct mh_http_req *r, const char *name)
 {
 	struct value *v = g_hash_table_lookup(p->values, name);
 	gsize len;
@@ -101,52 +102,52 @@
 }
 
 static void
-answer_held(void *arg)
+reply_delayed(void *arg)
 {
-	struct held *h = arg;
+	struct delayed_get *h = arg;
 	struct platform *p = h->p;
 	struct mh_http_req *r = mh_httpd_find(p->w->ctl, h->req);
 
 	h->timer = NULL;
 	if (r != NULL)
-		answer_get(p, r, h->name);
-	g_hash_table_remove(p->held, &h->req);
+		reply_get(p, r, h->name);
+	g_hash_table_remove(p->delayed, &h->req);
 }
 
 static void
-hold(struct platform *p, struct mh_http_req *r, const char *name,
+delay_get(struct platform *p, struct mh_http_req *r, const char *name,
     uint64_t index, int64_t us, bool watch)
 {
-	struct held *h = g_new0(struct held, 1);
+	struct delayed_get *h = g_new0(struct delayed_get, 1);
 
 	h->p = p;
 	h->req = mh_req_id(r);
 	h->name = g_strdup(name);
 	h->index = index;
 	h->watch = watch;
-	h->timer = mh_timer_start(p->w->k, us, answer_held, h);
-	g_hash_table_insert(p->held, &h->req, h);
+	h->timer = mh_timer_start(p->w->k, us, reply_delayed, h);
+	g_hash_table_insert(p->delayed, &h->req, h);
 }
 
 static void
-wake_watches(struct platform *p, const char *name)
+reply_watches(struct platform *p, const char *name)
 {
 	GPtrArray *due = g_ptr_array_new();
 	GHashTableIter it;
 	gpointer v;
 
-	g_hash_table_iter_init(&it, p->held);
+	g_hash_table_iter_init(&it, p->delayed);
 	while (g_hash_table_iter_next(&it, NULL, &v)) {
-		struct held *h = v;
+		struct delayed_get *h = v;
 
 		if (h->watch && strcmp(h->name, name) == 0)
 			g_ptr_array_add(due, h);
 	}
 	for (guint i = 0; i < due->len; i++) {
-		struct held *h = due->pdata[i];
+		struct delayed_get *h = due->pdata[i];
 
 		mh_timer_stop(p->w->k, &h->timer);
-		answer_held(h);
+		reply_delayed(h);
 	}
 	g_ptr_array_free(due, TRUE);
 }
@@ -170,9 +171,10 @@
 
 	p->reads++;
 	if (seen > 0 && now <= seen)
-		hold(p, r, name, seen, parse_ms(mh_req_query(r, "wait")), true);
+		delay_get(
+		    p, r, name, seen, parse_ms(mh_req_query(r, "wait")), true);
 	else
-		hold(p, r, name, 0, p->delay_us, false);
+		delay_get(p, r, name, 0, p->delay_us, false);
 }
 
 static bool
@@ -205,14 +207,14 @@
 
 	p->writes++;
 	if (mh_req_too_big(r) ||
-	    (data != NULL && g_bytes_get_size(data) > MAX_VALUE)) {
+	    (data != NULL && g_bytes_get_size(data) > MAX_VALUE_BYTES)) {
 		mh_req_reply(r, 413, "text/plain", NULL);
 		return;
 	}
 	ok = write_value(p, name, mh_req_query(r, "cas"), data);
 	if (ok)
-		wake_watches(p, name);
-	if (mh_random_unit(p->w->k) < p->lose_answers) {
+		reply_watches(p, name);
+	if (mh_random_unit(p->w->k) < p->lost_share) {
 		mh_req_cut(r);
 		return;
 	}
@@ -222,11 +224,11 @@
 }
 
 static void
-apply_lag(void *arg)
+publish_vms(void *arg)
 {
 	struct platform *p = arg;
 
-	p->lag = NULL;
+	p->lag_timer = NULL;
 	g_free(p->vms);
 	p->vms = p->vms_next;
 	p->vms_next = NULL;
@@ -240,8 +242,9 @@
 
 	g_free(p->vms_next);
 	p->vms_next = g_strndup(data, len);
-	if (p->lag == NULL)
-		p->lag = mh_timer_start(p->w->k, p->lag_us, apply_lag, p);
+	if (p->lag_timer == NULL)
+		p->lag_timer =
+		    mh_timer_start(p->w->k, p->lag_us, publish_vms, p);
 }
 
 static void
@@ -254,7 +257,7 @@
 	if ((v = json_object_get(o, "delay_ms")) != NULL)
 		p->delay_us = json_integer_value(v) * MH_US_PER_MS;
 	if ((v = json_object_get(o, "lose_answers")) != NULL)
-		p->lose_answers = json_number_value(v);
+		p->lost_share = json_number_value(v);
 	if ((v = json_object_get(o, "vms_down")) != NULL)
 		p->vms_down = json_is_true(v);
 	if ((v = json_object_get(o, "lag_ms")) != NULL)
@@ -263,15 +266,15 @@
 		GHashTableIter it;
 		gpointer h;
 
-		g_hash_table_iter_init(&it, p->held);
+		g_hash_table_iter_init(&it, p->delayed);
 		while (g_hash_table_iter_next(&it, NULL, &h)) {
-			struct mh_http_req *r =
-			    mh_httpd_find(p->w->ctl, ((struct held *)h)->req);
+			struct mh_http_req *r = mh_httpd_find(
+			    p->w->ctl, ((struct delayed_get *)h)->req);
 
 			if (r != NULL)
 				mh_req_cut(r);
 		}
-		g_hash_table_remove_all(p->held);
+		g_hash_table_remove_all(p->delayed);
 	}
 }
 
@@ -332,11 +335,11 @@
 }
 
 void
-platform_gone(struct world *w, struct mh_http_req *r)
+platform_disconnect(struct world *w, struct mh_http_req *r)
 {
 	uint64_t id = mh_req_id(r);
 
-	g_hash_table_remove(get(w)->held, &id);
+	g_hash_table_remove(get(w)->delayed, &id);
 }
 
 static void
@@ -344,8 +347,8 @@
 {
 	struct platform *p = self;
 
-	mh_timer_stop(p->w->k, &p->lag);
-	g_hash_table_destroy(p->held);
+	mh_timer_stop(p->w->k, &p->lag_timer);
+	g_hash_table_destroy(p->delayed);
 	g_hash_table_destroy(p->values);
 	g_free(p->vms);
 	g_free(p->vms_next);
@@ -358,11 +361,11 @@
 	struct platform *p = g_new0(struct platform, 1);
 
 	p->w = w;
-	p->delay_us = DEFAULT_US;
+	p->delay_us = DEFAULT_DELAY_US;
 	p->vms = g_strdup("[]");
 	p->values =
 	    g_hash_table_new_full(g_str_hash, g_str_equal, g_free, free_value);
-	p->held =
-	    g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL, free_held);
+	p->delayed = g_hash_table_new_full(
+	    g_int64_hash, g_int64_equal, NULL, free_delayed);
 	mh_kern_add(w->k, "platform", p, NULL, destroy);
 }
--- a/marlstand/marlstand.c
+++ b/marlstand/marlstand.c
@@ -1,6 +1,7 @@
 /**
- * DOC: marlstand: stand-ins for what marlhoist meets outside: the platform,
- * model engines, pools and plain services.  For tests, demo and bench only.
+ * DOC: marlstand: stand-ins for the systems that marlhoist calls: platform,
+ * model engines, stage pools and plain services.  Not for production: used by
+ * tests, demo and benchmarks only.
  */
 
 #include "marlstand.h"
@@ -14,7 +15,7 @@
 
 static void load_world(struct world *w, const char *file);
 static void on_request(void *arg, struct mh_http_req *r);
-static void on_gone(void *arg, struct mh_http_req *r);
+static void on_disconnect(void *arg, struct mh_http_req *r);
 static void on_terminate(void *arg);
 
 static G_GNUC_NORETURN void
@@ -34,10 +35,10 @@
 int
 main(int argc, char **argv)
 {
-	struct world w = { .crossed = 0 };
+	struct world w = { .mixed_bodies = 0 };
 	struct mh_httpd_args a = { .listen = "127.0.0.1:0",
 		.on_request = on_request,
-		.on_gone = on_gone,
+		.on_gone = on_disconnect,
 		.arg = &w };
 	GError *err = NULL;
 	uint32_t seed = 1;
@@ -81,7 +82,7 @@
 	g_bytes_unref(b);
 }
 
-/* Every tag in a body must be the same: else two requests were mixed. */
+/* Different tags in a body show that two requests were mixed. */
 bool
 find_ref(struct world *w, GBytes *body, char ref[REF_LEN + 1])
 {
@@ -103,7 +104,7 @@
 		}
 	}
 	if (!ok)
-		w->crossed++;
+		w->mixed_bodies++;
 	g_free(text);
 	return ok;
 }
@@ -176,7 +177,7 @@
 		(json_int_t)e->busy_us, "tokens_in", (json_int_t)e->tokens_in,
 		"tokens_cached", (json_int_t)e->tokens_cached, "tokens_out",
 		(json_int_t)e->tokens_out, "cancelled",
-		(json_int_t)e->cancelled, "falls", (int)e->falls));
+		(json_int_t)e->cancelled, "falls", (int)e->crashes));
 }
 
 static void
@@ -193,9 +194,9 @@
 	g_hash_table_foreach(w->audit, add_run, runs);
 	g_hash_table_foreach(w->endpoints, add_endpoint_audit, endpoints);
 	reply_json(r, 200,
-	    json_pack("{s:I, s:I, s:o, s:o}", "crossed", (json_int_t)w->crossed,
-		"runs", (json_int_t)w->runs, "keys", runs, "endpoints",
-		endpoints));
+	    json_pack("{s:I, s:I, s:o, s:o}", "crossed",
+		(json_int_t)w->mixed_bodies, "runs", (json_int_t)w->runs,
+		"keys", runs, "endpoints", endpoints));
 }
 
 static enum fault
@@ -244,9 +245,9 @@
 }
 
 static void
-on_gone(void *arg, struct mh_http_req *r)
+on_disconnect(void *arg, struct mh_http_req *r)
 {
-	platform_gone(arg, r);
+	platform_disconnect(arg, r);
 }
 
 static void
--- a/marlstand/pool.c
+++ b/marlstand/pool.c
@@ -1,6 +1,6 @@
 /**
- * DOC: Stand-in pools and plain services: a few workers, a FIFO in front,
- * a seeded service time, faults on command.
+ * DOC: Stand-ins for stage endpoints and plain services: a FIFO queue, a number
+ * of workers, log-normal service times from a seed, and injected faults.
  */
 
 #include "marlstand.h"
@@ -9,21 +9,21 @@
 #include <string.h>
 
 #define EMBEDDING_LEN 8
-/* A call with STAND_FATAL ends its endpoint so long after it began... */
-#define FALL_US (10 * MH_US_PER_MS)
-/* ...which is back after this. */
-#define BACK_US (1 * MH_US_PER_S)
-#define SPREAD 0.25 /* sigma of the log-normal service time */
+/* From the start of a call with STAND_FATAL to the crash of its endpoint. */
+#define CRASH_DELAY_US (10 * MH_US_PER_MS)
+/* From the crash to the restart. */
+#define RESTART_DELAY_US (1 * MH_US_PER_S)
+#define SERVICE_TIME_SIGMA 0.25 /* sigma of the log-normal distribution */
 
 struct job {
 	struct endpoint *e;
-	uint64_t req; /* the waiting request, may be gone */
+	uint64_t req; /* HTTP request; its client may have disconnected */
 	char ref[REF_LEN + 1];
 	GBytes *body;
 	char *key;
-	int64_t us;
+	int64_t us; /* service time */
 	bool started;
-	bool fatal;
+	bool fatal; /* the body has STAND_FATAL */
 };
 
 static void start_next(struct endpoint *e);
@@ -33,7 +33,7 @@
 {
 	double u = mh_random_unit(k) + 1e-12, v = mh_random_unit(k);
 
-	return exp(SPREAD * sqrt(-2 * log(u)) * cos(2 * M_PI * v));
+	return exp(SERVICE_TIME_SIGMA * sqrt(-2 * log(u)) * cos(2 * M_PI * v));
 }
 
 static void
@@ -88,7 +88,7 @@
 }
 
 static json_t *
-answer_for(const struct job *j)
+make_answer(const struct job *j)
 {
 	gsize len;
 	const char *data = g_bytes_get_data(j->body, &len);
@@ -108,7 +108,7 @@
 }
 
 static void
-answer(struct job *j)
+send_answer(struct job *j)
 {
 	struct endpoint *e = j->e;
 	struct mh_http_req *r = mh_httpd_find(e->httpd, j->req);
@@ -132,7 +132,7 @@
 	case FAULT_SILENT:
 		break;
 	default:
-		reply_json(r, 200, answer_for(j));
+		reply_json(r, 200, make_answer(j));
 		break;
 	}
 }
@@ -145,49 +145,51 @@
 	struct mh_http_req *r;
 
 	e->running--;
-	g_queue_remove(&e->open, j);
+	g_queue_remove(&e->active, j);
 	e->busy_us += (uint64_t)j->us;
 	if (!j->fatal)
-		answer(j);
+		send_answer(j);
 	else if ((r = mh_httpd_find(e->httpd, j->req)) != NULL)
-		mh_req_cut(r); /* the endpoint ends under it */
+		mh_req_cut(r); /* the endpoint crashes */
 	free_job(j);
 	start_next(e);
 }
 
 static void
-on_back(void *arg)
+on_restart(void *arg)
 {
 	struct endpoint *e = arg;
 
-	e->fall = NULL;
+	e->crash_timer = NULL;
 	endpoint_fault(e, FAULT_NONE, 1);
 }
 
 static void
-on_fall(void *arg)
+on_crash(void *arg)
 {
 	struct endpoint *e = arg;
 
 	endpoint_fault(e, FAULT_DEAD, 1);
-	e->fall = mh_timer_start(e->w->k, BACK_US, on_back, e);
+	e->crash_timer =
+	    mh_timer_start(e->w->k, RESTART_DELAY_US, on_restart, e);
 }
 
 bool
-endpoint_try_fall(struct endpoint *e, const char *body, size_t len)
+endpoint_check_fatal(struct endpoint *e, const char *body, size_t len)
 {
 	if (g_strstr_len(body, (gssize)len, STAND_FATAL) == NULL)
 		return false;
-	if (e->fall == NULL) {
-		e->falls++;
-		e->fall = mh_timer_start(e->w->k, FALL_US, on_fall, e);
+	if (e->crash_timer == NULL) {
+		e->crashes++;
+		e->crash_timer =
+		    mh_timer_start(e->w->k, CRASH_DELAY_US, on_crash, e);
 	}
 	return true;
 }
 
-/* From here on the call has run: the audit counts it. */
+/* Starts a call and counts it in the audit. */
 static void
-run(struct job *j)
+start_job(struct job *j)
 {
 	struct endpoint *e = j->e;
 	struct world *w = e->w;
@@ -195,9 +197,9 @@
 	gsize len;
 	const char *body = g_bytes_get_data(j->body, &len);
 
-	j->fatal = endpoint_try_fall(e, body, len);
+	j->fatal = endpoint_check_fatal(e, body, len);
 	e->running++;
-	g_queue_push_tail(&e->open, j);
+	g_queue_push_tail(&e->active, j);
 	w->runs++;
 	if (j->key != NULL) {
 		n = g_hash_table_lookup(w->audit, j->key);
@@ -214,7 +216,7 @@
 start_next(struct endpoint *e)
 {
 	while (e->running < e->spec.workers && !g_queue_is_empty(&e->waiting))
-		run(g_queue_pop_head(&e->waiting));
+		start_job(g_queue_pop_head(&e->waiting));
 }
 
 static void
@@ -244,16 +246,16 @@
 }
 
 static void
-on_gone(void *arg, struct mh_http_req *r)
+on_disconnect(void *arg, struct mh_http_req *r)
 {
 	struct endpoint *e = arg;
 
 	if (e->engine != NULL) {
-		engine_gone(e->engine, r);
+		engine_cancel(e->engine, r);
 		return;
 	}
 	e->cancelled++;
-	/* What waits is dropped; what runs runs on, as services do. */
+	/* Drops a waiting call; a running one continues, as in services. */
 	for (GList *n = e->waiting.head; n != NULL; n = n->next) {
 		struct job *j = n->data;
 
@@ -274,7 +276,7 @@
 	e->factor = factor;
 	if (f != FAULT_DEAD)
 		return;
-	for (GList *n = e->open.head; n != NULL; n = n->next) {
+	for (GList *n = e->active.head; n != NULL; n = n->next) {
 		struct job *o = n->data;
 		struct mh_http_req *r = mh_httpd_find(e->httpd, o->req);
 
@@ -289,7 +291,7 @@
 		free_job(j);
 	}
 	if (e->engine != NULL)
-		engine_drop_all(e->engine);
+		engine_cut_all(e->engine);
 }
 
 struct endpoint *
@@ -298,14 +300,14 @@
 	struct endpoint *e = g_new0(struct endpoint, 1);
 	struct mh_httpd_args a = { .listen = "127.0.0.1:0",
 		.on_request = on_request,
-		.on_gone = on_gone,
+		.on_gone = on_disconnect,
 		.arg = e };
 
 	e->w = w;
 	e->spec = *s;
 	e->factor = 1;
 	g_queue_init(&e->waiting);
-	g_queue_init(&e->open);
+	g_queue_init(&e->active);
 	e->httpd = mh_httpd_create(w->loop, &a, err);
 	if (e->httpd == NULL) {
 		g_free(e);
@@ -321,7 +323,7 @@
 {
 	struct job *j;
 
-	mh_timer_stop(e->w->k, &e->fall);
+	mh_timer_stop(e->w->k, &e->crash_timer);
 	while ((j = g_queue_pop_head(&e->waiting)) != NULL)
 		free_job(j);
 	mh_httpd_destroy(e->httpd);
--- a/marlstand/relay.c
+++ b/marlstand/relay.c
@@ -1,7 +1,8 @@
 /**
- * DOC: A TCP hop between our processes that loses track of connections:
- * what is open goes silent for good, one way or both, while new
- * connections work.  It can also double and delay single frames.
+ * DOC: TCP relay between two processes of marlhoist, with fault injection.  On
+ * command it discards all further data of the open connections, in one or both
+ * directions, while new connections work, like a stateful firewall that lost
+ * its connection table.  It can also duplicate or delay single frames.
  */
 
 #include "marlstand.h"
@@ -15,34 +16,36 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-#define LEN_BYTES 4
-#define SETTLED 3 /* frames that pass first: the handshake */
-#define LATE_US (30 * MH_US_PER_MS)
+#define LEN_BYTES 4 /* length before each frame, big-endian */
+#define HANDSHAKE_FRAMES 3 /* passed without a fault */
+#define FRAME_DELAY_US (30 * MH_US_PER_MS)
 
 struct relay;
 
 /** struct pipe - one direction of one connection. */
 struct pipe {
-	struct hop *hop;
+	struct relay_conn *conn;
 	int from;
 	int to;
-	bool back; /* towards the dialer */
-	bool swallow;
+	bool to_dialer;
+	bool discard; /* drop received data */
 	uint32_t frames;
-	GByteArray *in;
-	GByteArray *out;
+	GByteArray *in; /* received, not yet a complete frame */
+	GByteArray *out; /* to be sent */
 };
 
-struct hop {
-	struct relay *r;
-	struct pipe a; /* dialer to target */
-	struct pipe b;
-	uint32_t refs; /* delayed frames under way */
+/** struct relay_conn - one relayed connection. */
+struct relay_conn {
+	struct relay *relay;
+	struct pipe forward; /* dialer to target */
+	struct pipe backward; /* target to dialer */
+	uint32_t refs; /* delayed frames that refer to it */
 	bool closed;
 };
 
-struct late {
-	struct pipe *p;
+/** struct delayed_frame - a frame that will be forwarded later. */
+struct delayed_frame {
+	struct pipe *pipe;
 	GBytes *frame;
 };
 
@@ -51,8 +54,8 @@
 	char *name;
 	int listen_fd;
 	struct sockaddr_in to;
-	GPtrArray *hops;
-	double crossed; /* share of frames doubled or delayed */
+	GPtrArray *conns; /* struct relay_conn, open */
+	double disturbed_share; /* share of frames duplicated or delayed */
 };
 
 static GHashTable *
@@ -62,39 +65,41 @@
 }
 
 static void
-free_hop(struct hop *h)
+free_conn(struct relay_conn *h)
 {
-	g_byte_array_unref(h->a.in);
-	g_byte_array_unref(h->a.out);
-	g_byte_array_unref(h->b.in);
-	g_byte_array_unref(h->b.out);
+	g_byte_array_unref(h->forward.in);
+	g_byte_array_unref(h->forward.out);
+	g_byte_array_unref(h->backward.in);
+	g_byte_array_unref(h->backward.out);
 	g_free(h);
 }
 
 static void
-close_hop(struct hop *h)
+close_conn(struct relay_conn *h)
 {
 	if (h->closed)
 		return;
 	h->closed = true;
-	mh_loop_fd_close(h->r->w->loop, h->a.from);
-	mh_loop_fd_close(h->r->w->loop, h->a.to);
-	close(h->a.from);
-	close(h->a.to);
-	g_ptr_array_remove(h->r->hops, h);
+	mh_loop_fd_close(h->relay->w->loop, h->forward.from);
+	mh_loop_fd_close(h->relay->w->loop, h->forward.to);
+	close(h->forward.from);
+	close(h->forward.to);
+	g_ptr_array_remove(h->relay->conns, h);
 	if (h->refs == 0)
-		free_hop(h);
+		free_conn(h);
 }
 
 static void on_fd(void *arg, bool readable, bool writable);
 
 static void
-want_io(struct hop *h)
+want_io(struct relay_conn *h)
 {
-	struct mh_loop *l = h->r->w->loop;
+	struct mh_loop *l = h->relay->w->loop;
 
-	mh_loop_fd(l, h->a.from, true, h->b.out->len > 0, on_fd, &h->a);
-	mh_loop_fd(l, h->b.from, true, h->a.out->len > 0, on_fd, &h->b);
+	mh_loop_fd(l, h->forward.from, true, h->backward.out->len > 0, on_fd,
+	    &h->forward);
+	mh_loop_fd(l, h->backward.from, true, h->forward.out->len > 0, on_fd,
+	    &h->backward);
 }
 
 static bool
@@ -112,23 +117,23 @@
 }
 
 static void
-deliver_late(void *arg)
+deliver_delayed(void *arg)
 {
-	struct late *l = arg;
-	struct hop *h = l->p->hop;
+	struct delayed_frame *l = arg;
+	struct relay_conn *h = l->pipe->conn;
 	gsize len;
 	const uint8_t *data = g_bytes_get_data(l->frame, &len);
 
 	h->refs--;
 	if (h->closed) {
 		if (h->refs == 0)
-			free_hop(h);
+			free_conn(h);
 	} else {
-		g_byte_array_append(l->p->out, data, (guint)len);
-		if (push(l->p))
+		g_byte_array_append(l->pipe->out, data, (guint)len);
+		if (push(l->pipe))
 			want_io(h);
 		else
-			close_hop(h);
+			close_conn(h);
 	}
 	g_bytes_unref(l->frame);
 	g_free(l);
@@ -137,27 +142,28 @@
 static void
 delay_frame(struct pipe *p, const uint8_t *data, size_t len)
 {
-	struct late *l = g_new0(struct late, 1);
+	struct delayed_frame *l = g_new0(struct delayed_frame, 1);
 
-	l->p = p;
+	l->pipe = p;
 	l->frame = g_bytes_new(data, len);
-	p->hop->refs++;
-	mh_timer_start(p->hop->r->w->k, LATE_US, deliver_late, l);
+	p->conn->refs++;
+	mh_timer_start(
+	    p->conn->relay->w->k, FRAME_DELAY_US, deliver_delayed, l);
 }
 
 static void
 pass_frame(struct pipe *p, const uint8_t *data, size_t len)
 {
-	struct relay *r = p->hop->r;
+	struct relay *r = p->conn->relay;
 	double u = mh_random_unit(r->w->k);
 
 	p->frames++;
-	if (p->frames > SETTLED && u < r->crossed / 2) {
+	if (p->frames > HANDSHAKE_FRAMES && u < r->disturbed_share / 2) {
 		delay_frame(p, data, len);
 		return;
 	}
 	g_byte_array_append(p->out, data, (guint)len);
-	if (p->frames > SETTLED && u < r->crossed)
+	if (p->frames > HANDSHAKE_FRAMES && u < r->disturbed_share)
 		g_byte_array_append(p->out, data, (guint)len);
 }
 
@@ -184,35 +190,36 @@
 on_fd(void *arg, bool readable, bool writable)
 {
 	struct pipe *p = arg;
-	struct hop *h = p->hop;
+	struct relay_conn *h = p->conn;
 	uint8_t buf[65536];
 	ssize_t n;
 
 	if (readable) {
 		n = recv(p->from, buf, sizeof(buf), 0);
 		if (n == 0 || (n < 0 && errno != EAGAIN)) {
-			close_hop(h);
+			close_conn(h);
 			return;
 		}
-		if (n > 0 && !p->swallow) {
+		if (n > 0 && !p->discard) {
 			g_byte_array_append(p->in, buf, (guint)n);
 			pass_frames(p);
 		}
 	}
 	(void)writable;
-	if (!push(&h->a) || !push(&h->b))
-		close_hop(h);
+	if (!push(&h->forward) || !push(&h->backward))
+		close_conn(h);
 	else
 		want_io(h);
 }
 
 static void
-init_pipe(struct pipe *p, struct hop *h, int from, int to, bool back)
+init_pipe(
+    struct pipe *p, struct relay_conn *h, int from, int to, bool to_dialer)
 {
-	p->hop = h;
+	p->conn = h;
 	p->from = from;
 	p->to = to;
-	p->back = back;
+	p->to_dialer = to_dialer;
 	p->in = g_byte_array_new();
 	p->out = g_byte_array_new();
 }
@@ -223,7 +230,7 @@
 	struct relay *r = arg;
 	int from = accept4(r->listen_fd, NULL, NULL, SOCK_NONBLOCK);
 	int to, on = 1;
-	struct hop *h;
+	struct relay_conn *h;
 
 	(void)readable;
 	(void)writable;
@@ -240,11 +247,11 @@
 	}
 	setsockopt(from, IPPROTO_TCP, TCP_NODELAY, &on, sizeof(on));
 	setsockopt(to, IPPROTO_TCP, TCP_NODELAY, &on, sizeof(on));
-	h = g_new0(struct hop, 1);
-	h->r = r;
-	init_pipe(&h->a, h, from, to, false);
-	init_pipe(&h->b, h, to, from, true);
-	g_ptr_array_add(r->hops, h);
+	h = g_new0(struct relay_conn, 1);
+	h->relay = r;
+	init_pipe(&h->forward, h, from, to, false);
+	init_pipe(&h->backward, h, to, from, true);
+	g_ptr_array_add(r->conns, h);
 	want_io(h);
 }
 
@@ -260,13 +267,13 @@
 	r->name = g_strdup(name);
 	r->to = sa;
 	r->to.sin_port = htons(port);
-	r->hops = g_ptr_array_new();
+	r->conns = g_ptr_array_new();
 	r->listen_fd = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK, 0);
 	if (r->listen_fd < 0 ||
 	    bind(r->listen_fd, (struct sockaddr *)&sa, sizeof(sa)) < 0 ||
 	    listen(r->listen_fd, 128) < 0 ||
 	    getsockname(r->listen_fd, (struct sockaddr *)&sa, &len) < 0) {
-		g_ptr_array_free(r->hops, TRUE);
+		g_ptr_array_free(r->conns, TRUE);
 		g_free(r->name);
 		g_free(r);
 		return 0;
@@ -277,27 +284,31 @@
 }
 
 static void
-swallow(struct relay *r, const char *way)
+discard_open(struct relay *r, const char *direction)
 {
-	for (guint i = 0; i < r->hops->len; i++) {
-		struct hop *h = r->hops->pdata[i];
+	for (guint i = 0; i < r->conns->len; i++) {
+		struct relay_conn *h = r->conns->pdata[i];
 
-		if (strcmp(way, "back") != 0)
-			h->a.swallow = true;
-		if (strcmp(way, "forth") != 0)
-			h->b.swallow = true;
+		if (strcmp(direction, "back") != 0)
+			h->forward.discard = true;
+		if (strcmp(direction, "forth") != 0)
+			h->backward.discard = true;
 	}
 }
 
 /*
- * POST /ctl/relay {"name", "port"} opens one; {"name", "swallow": "both",
- * "forth" or "back"} silences what is open; {"name", "crossed": share}.
+ * POST /ctl/relay with one of these JSON objects:
+ *  {"name", "port"}: creates a relay to a port on loopback; the response has
+ *   the port it listens on
+ *  {"name", "swallow": "both", "forth" or "back"}: discards further data of the
+ *   open connections; "forth" is from the dialer to the target
+ *  {"name", "crossed": SHARE}: duplicates or delays this share of the frames
  */
 bool
 relays_serve(struct world *w, struct mh_http_req *r)
 {
 	gsize len;
-	const char *data, *name, *way;
+	const char *data, *name, *direction;
 	json_t *o, *v;
 	struct relay *re;
 	uint16_t port = 0;
@@ -308,13 +319,13 @@
 	o = json_loadb(data, len, 0, NULL);
 	name = json_string_value(json_object_get(o, "name"));
 	re = name == NULL ? NULL : g_hash_table_lookup(relays(w), name);
-	way = json_string_value(json_object_get(o, "swallow"));
+	direction = json_string_value(json_object_get(o, "swallow"));
 	if (name != NULL && (v = json_object_get(o, "port")) != NULL)
 		port = open_relay(w, name, (uint16_t)json_integer_value(v));
-	if (re != NULL && way != NULL)
-		swallow(re, way);
+	if (re != NULL && direction != NULL)
+		discard_open(re, direction);
 	if (re != NULL && (v = json_object_get(o, "crossed")) != NULL)
-		re->crossed = json_number_value(v);
+		re->disturbed_share = json_number_value(v);
 	json_decref(o);
 	reply_json(r, 200, json_pack("{s:i}", "port", (int)port));
 	return true;
