--- a/lib/claim.c
+++ b/lib/claim.c
@@ -188,7 +188,7 @@
 		c->watch_started_us = mh_now(c->k);
 	m->u.kv.op = op;
 	m->u.kv.token = *token;
-	m->u.kv.from = g_strdup("claim");
+	m->u.kv.reply_to = g_strdup("claim");
 	m->u.kv.name = g_strdup(c->name);
 	m->u.kv.index = c->index;
 	m->u.kv.cas = c->cas;
--- a/lib/client.c
+++ b/lib/client.c
@@ -56,7 +56,7 @@
 static void
 finish(struct transfer *h, CURLcode rc)
 {
-	struct mh_http_done d = { .whole = rc == CURLE_OK };
+	struct mh_http_done d = { .complete = rc == CURLE_OK };
 	mh_http_done_fn done = h->done;
 	void *arg = h->arg;
 
--- a/lib/conf.c
+++ b/lib/conf.c
@@ -245,7 +245,7 @@
 	c->kv_started_us = mh_now(c->k);
 	m->u.kv.op = op;
 	m->u.kv.token = c->token;
-	m->u.kv.from = g_strdup("conf");
+	m->u.kv.reply_to = g_strdup("conf");
 	m->u.kv.name = g_strdup(name);
 	m->u.kv.index = c->head_index;
 	m->u.kv.wait_us = WATCH_US;
--- a/lib/endpoint.c
+++ b/lib/endpoint.c
@@ -68,7 +68,7 @@
 static void
 report_end(struct run *r, const struct mh_run_msg *end)
 {
-	struct mh_msg *m = mh_msg_new(MH_MSG_RAN);
+	struct mh_msg *m = mh_msg_new(MH_MSG_RUN_DONE);
 
 	m->u.run = *end;
 	m->u.run.run = r->id;
@@ -83,7 +83,9 @@
 static void
 report_complete(struct run *r)
 {
-	struct mh_run_msg end = { .status = 200, .sent = true, .whole = true };
+	struct mh_run_msg end = {
+		.status = 200, .sent = true, .complete = true
+	};
 
 	report_end(r, &end);
 }
@@ -158,7 +160,7 @@
 	struct mh_run_msg end = { .status = d->status,
 		.sent = d->sent,
 		.broke = d->broke,
-		.whole = d->whole && (!r->stream || d->status >= 300) };
+		.complete = d->complete && (!r->stream || d->status >= 300) };
 	json_t *j;
 	gsize len;
 	const char *data = g_bytes_get_data(d->body, &len);
--- a/lib/entry.c
+++ b/lib/entry.c
@@ -316,7 +316,7 @@
 {
 	struct mh_rule_input in = { .org = r->org->name,
 		.pipeline = m->path + strlen(PREFIX_PIPELINES),
-		.class_name = m->class_asked,
+		.class_name = m->class_name,
 		.labels = m->labels,
 		.wall_us = mh_wall(e->k),
 		.deadline_us = m->deadline_us };
@@ -630,7 +630,7 @@
 		if (!defer_request(e, m))
 			dispatch(e, &m->u.request);
 		break;
-	case MH_MSG_GONE:
+	case MH_MSG_CALLER_LEFT:
 		r = g_hash_table_lookup(e->requests, &m->u.request.id);
 		if (r == NULL)
 			break;
--- a/lib/hist.c
+++ b/lib/hist.c
@@ -58,7 +58,7 @@
 }
 
 int64_t
-mh_hist_at(const struct mh_hist *h, double q)
+mh_hist_quantile(const struct mh_hist *h, double q)
 {
 	uint64_t rank = (uint64_t)(q * (double)h->count), cumulative = 0;
 
--- a/lib/httpd.c
+++ b/lib/httpd.c
@@ -229,7 +229,7 @@
 }
 
 void
-mh_req_cut(struct mh_http_req *r)
+mh_req_abort(struct mh_http_req *r)
 {
 	/* Buffered data of a stream is sent before the connection is closed. */
 	if (r->phase == STREAMING)
@@ -413,8 +413,8 @@
 	(void)code;
 	if (r == NULL)
 		return;
-	if (r->reported && !r->ended && h->a.on_gone != NULL)
-		h->a.on_gone(h->a.arg, r);
+	if (r->reported && !r->ended && h->a.on_caller_left != NULL)
+		h->a.on_caller_left(h->a.arg, r);
 	*ctx = NULL;
 	free_req(r);
 }
@@ -454,9 +454,9 @@
 	for (guint i = 0; i < disconnected->len; i++) {
 		struct mh_http_req *r = disconnected->pdata[i];
 
-		if (r->reported && !r->ended && h->a.on_gone != NULL)
-			h->a.on_gone(h->a.arg, r);
-		mh_req_cut(r);
+		if (r->reported && !r->ended && h->a.on_caller_left != NULL)
+			h->a.on_caller_left(h->a.arg, r);
+		mh_req_abort(r);
 	}
 	g_ptr_array_free(disconnected, TRUE);
 }
@@ -485,7 +485,7 @@
 	}
 	if (h->run_pending)
 		return 0;
-	if (mh_kern_next(h->k) == mh_now(h->k))
+	if (mh_kern_next_us(h->k) == mh_now(h->k))
 		return 0;
 	if (MHD_get_timeout(h->daemon, &ms) != MHD_YES)
 		return -1;
@@ -572,7 +572,7 @@
 		return NULL;
 	}
 	mh_loop_fd(loop, h->epoll_fd, true, false, on_ready, h);
-	mh_loop_before(loop, before_wait, h);
+	mh_loop_before_wait(loop, before_wait, h);
 	h->disconnect_timer =
 	    mh_timer_start(h->k, DISCONNECT_CHECK_US, check_disconnects, h);
 	return h;
@@ -611,7 +611,7 @@
 }
 
 uint32_t
-mh_httpd_open(const struct mh_httpd *h)
+mh_httpd_active_count(const struct mh_httpd *h)
 {
 	return g_hash_table_size(h->reqs);
 }
@@ -637,7 +637,7 @@
 		struct mh_http_req *r = n->data;
 
 		r->reported = false;
-		mh_req_cut(r);
+		mh_req_abort(r);
 	}
 	g_list_free(all);
 	if (h->daemon != NULL) {
--- a/lib/hub.c
+++ b/lib/hub.c
@@ -53,7 +53,7 @@
 	case MH_MSG_LINK_DOWN:
 		mh_member_link_changed(h->k, m);
 		break;
-	case MH_MSG_LINK_HEARD: /* progress is proved by pongs only */
+	case MH_MSG_LINK_RX_PROGRESS: /* progress is proved by pongs only */
 		break;
 	default:
 		mh_count(h->k, "hub_unexpected", 1);
--- a/lib/kern.c
+++ b/lib/kern.c
@@ -162,7 +162,7 @@
 	g_free(r->path);
 	g_free(r->key);
 	g_free(r->idempotency_key);
-	g_free(r->class_asked);
+	g_free(r->class_name);
 	if (r->labels != NULL)
 		g_hash_table_destroy(r->labels);
 	free_bytes(r->body);
@@ -177,12 +177,12 @@
 	case MH_MSG_LINK_CLOSE:
 	case MH_MSG_LINK_UP:
 	case MH_MSG_LINK_DOWN:
-	case MH_MSG_LINK_HEARD:
+	case MH_MSG_LINK_RX_PROGRESS:
 	case MH_MSG_FRAME:
 		free_link(&m->u.link);
 		break;
 	case MH_MSG_REQUEST:
-	case MH_MSG_GONE:
+	case MH_MSG_CALLER_LEFT:
 		free_request(&m->u.request);
 		break;
 	case MH_MSG_REPLY:
@@ -191,7 +191,7 @@
 	case MH_MSG_RUN:
 	case MH_MSG_RUN_ABORT:
 	case MH_MSG_RUN_CHUNK:
-	case MH_MSG_RAN:
+	case MH_MSG_RUN_DONE:
 		g_free(m->u.run.path);
 		g_free(m->u.run.key);
 		g_free(m->u.run.org);
@@ -199,7 +199,7 @@
 		break;
 	case MH_MSG_KV:
 	case MH_MSG_KV_DONE:
-		g_free(m->u.kv.from);
+		g_free(m->u.kv.reply_to);
 		g_free(m->u.kv.name);
 		free_bytes(m->u.kv.value);
 		break;
@@ -207,7 +207,7 @@
 		if (m->u.vmlist.vms != NULL)
 			g_ptr_array_unref(m->u.vmlist.vms);
 		break;
-	case MH_MSG_VMLIST_ASK:
+	case MH_MSG_VMLIST_READ:
 		break;
 	}
 	g_free(m);
@@ -268,7 +268,7 @@
 }
 
 int64_t
-mh_kern_next(struct mh_kern *k)
+mh_kern_next_us(struct mh_kern *k)
 {
 	struct mh_timer *t = RB_MIN(timer_tree, &k->timers);
 
@@ -474,7 +474,7 @@
 	vm->role = g_strdup(role);
 	vm->pool = g_strdup(pool);
 	vm->domain = g_strdup(domain);
-	vm->leaving = draining;
+	vm->draining = draining;
 	return vm;
 }
 
--- a/lib/kv.c
+++ b/lib/kv.c
@@ -52,7 +52,7 @@
 
 	out->index = d->index;
 	out->cas = 0;
-	if (!d->whole)
+	if (!d->complete)
 		return;
 	if (r->q.op == MH_KV_PUT || r->q.op == MH_KV_DELETE) {
 		out->ok = d->status == 200;
@@ -76,8 +76,8 @@
 	m->u.kv.token = r->q.token;
 	m->u.kv.name = g_strdup(r->q.name);
 	fill(&m->u.kv, r, d);
-	mh_post(r->kv->k, r->q.from, m);
-	g_free(r->q.from);
+	mh_post(r->kv->k, r->q.reply_to, m);
+	g_free(r->q.reply_to);
 	g_free(r->q.name);
 	g_free(r);
 }
@@ -125,7 +125,7 @@
 	r->kv = kv;
 	r->q.op = q->op;
 	r->q.token = q->token;
-	r->q.from = g_strdup(q->from);
+	r->q.reply_to = g_strdup(q->reply_to);
 	r->q.name = g_strdup(q->name);
 	if (q->op == MH_KV_PUT) {
 		call.method = "PUT";
--- a/lib/link.c
+++ b/lib/link.c
@@ -322,7 +322,7 @@
 static void
 post_rx_progress(struct conn *c)
 {
-	struct mh_msg *m = mh_msg_new(MH_MSG_LINK_HEARD);
+	struct mh_msg *m = mh_msg_new(MH_MSG_LINK_RX_PROGRESS);
 
 	m->u.link.conn = c->id;
 	mh_post(c->l->k, "hub", m);
@@ -593,7 +593,7 @@
 	crypto_generichash(l->key, sizeof(l->key),
 	    (const unsigned char *)a->secret, strlen(a->secret), NULL, 0);
 	mh_kern_add(l->k, "link", l, handle, destroy);
-	mh_loop_before(loop, flush_all, l);
+	mh_loop_before_wait(loop, flush_all, l);
 	if (a->listen != NULL && !start_listen(l, a->listen, err))
 		return false;
 	if (a->advertise != NULL)
--- a/lib/loop.c
+++ b/lib/loop.c
@@ -140,7 +140,7 @@
 }
 
 void
-mh_loop_before(struct mh_loop *l, int64_t (*fn)(void *arg), void *arg)
+mh_loop_before_wait(struct mh_loop *l, int64_t (*fn)(void *arg), void *arg)
 {
 	struct hook h = { fn, arg };
 
@@ -282,7 +282,7 @@
 		if (us >= 0 && (bound < 0 || us < bound))
 			bound = us;
 	}
-	next = mh_kern_next(l->k);
+	next = mh_kern_next_us(l->k);
 	if (bound >= 0 &&
 	    (next < 0 || clock_us(CLOCK_MONOTONIC) + bound < next))
 		next = clock_us(CLOCK_MONOTONIC) + bound;
--- a/lib/marlhoist.h
+++ b/lib/marlhoist.h
@@ -39,7 +39,7 @@
 	MH_ERR_IO, /* a socket or file failed */
 	MH_ERR_WIRE, /* a frame is malformed */
 	MH_ERR_KV, /* the KV service failed or is unreachable */
-	MH_ERR_LOST_RACE, /* another process wrote first */
+	MH_ERR_CONFLICT, /* another process wrote first */
 	MH_ERR_REQUEST /* a caller's request is wrong */
 };
 #define MH_ERROR (mh_error_quark())
@@ -62,19 +62,20 @@
 	MH_MSG_LINK_CLOSE, /* to link */
 	MH_MSG_LINK_UP, /* from link: handshake done */
 	MH_MSG_LINK_DOWN, /* from link: closed or never opened */
-	MH_MSG_LINK_HEARD, /* from link: part of a large frame was received */
+	MH_MSG_LINK_RX_PROGRESS, /* from link: part of a large frame was
+				    received */
 	MH_MSG_FRAME, /* from link: one packed frame */
 	MH_MSG_REQUEST, /* from http: a caller's request */
 	MH_MSG_REPLY, /* to http: a response or part of a stream */
-	MH_MSG_GONE, /* from http: the caller disconnected */
+	MH_MSG_CALLER_LEFT, /* from http: the caller disconnected */
 	MH_MSG_RUN, /* to endpoint: run one call */
 	MH_MSG_RUN_ABORT, /* to endpoint */
 	MH_MSG_RUN_CHUNK, /* from endpoint: part of a stream */
-	MH_MSG_RAN, /* from endpoint: the call ended */
+	MH_MSG_RUN_DONE, /* from endpoint: the call ended */
 	MH_MSG_KV, /* to kv: one operation */
 	MH_MSG_KV_DONE, /* from kv: the result */
 	MH_MSG_VMLIST, /* from vmlist: the list, or that the read failed */
-	MH_MSG_VMLIST_ASK /* to vmlist: read the list once */
+	MH_MSG_VMLIST_READ /* to vmlist: read the list once */
 };
 
 /** struct mh_link_msg - any message to or from the link service. */
@@ -97,7 +98,7 @@
 	char *path;
 	char *key; /* bearer key or NULL */
 	char *idempotency_key;
-	char *class_asked; /* NULL: not given */
+	char *class_name; /* NULL: not given */
 	int64_t deadline_us; /* 0: not given */
 	GHashTable *labels;
 	GBytes *body;
@@ -133,7 +134,7 @@
 	/* below: set by the endpoint service */
 	uint32_t status; /* HTTP status, 0: no response */
 	bool sent; /* false: the endpoint certainly got nothing */
-	bool whole; /* complete response; a stream had its end mark */
+	bool complete; /* complete response; a stream had its end mark */
 	bool broke; /* the connection failed during the call */
 	uint64_t tokens_in;
 	uint64_t tokens_cached;
@@ -146,7 +147,7 @@
 struct mh_kv_msg {
 	enum mh_kv_op op;
 	uint64_t token; /* chosen by the requester */
-	char *from; /* service that gets the result */
+	char *reply_to; /* service that gets the result */
 	char *name; /* key in the KV */
 	uint64_t index; /* last modify index that a watch returned */
 	uint64_t cas; /* PUT: expected modify index, 0 creates */
@@ -164,7 +165,7 @@
 	char *role; /* entry or side */
 	char *pool;
 	char *domain;
-	bool leaving; /* takes no new work */
+	bool draining; /* takes no new work */
 };
 
 /** struct mh_vmlist_msg - result of reading the VM list; ok: it succeeded. */
@@ -207,8 +208,8 @@
 void *mh_kern_get(struct mh_kern *k, const char *name);
 /** mh_kern_advance() - sets the clocks, delivers messages, runs due timers. */
 void mh_kern_advance(struct mh_kern *k, int64_t now_us, int64_t wall_us);
-/** mh_kern_next() - time of the next message or timer, us; -1: none. */
-int64_t mh_kern_next(struct mh_kern *k);
+/** mh_kern_next_us() - time of the next message or timer, us; -1: none. */
+int64_t mh_kern_next_us(struct mh_kern *k);
 /** mh_now() - monotonic time in microseconds. */
 int64_t mh_now(struct mh_kern *k);
 /** mh_wall() - Unix time in microseconds; never used for deadlines. */
@@ -254,8 +255,8 @@
 struct mh_hist *mh_hist_create(void);
 void mh_hist_destroy(struct mh_hist *h);
 void mh_hist_add(struct mh_hist *h, int64_t value_us);
-/** mh_hist_at() - the value at quantile @q in [0, 1]. */
-int64_t mh_hist_at(const struct mh_hist *h, double q);
+/** mh_hist_quantile() - the value at quantile @q in [0, 1]. */
+int64_t mh_hist_quantile(const struct mh_hist *h, double q);
 uint64_t mh_hist_count(const struct mh_hist *h);
 
 /* wire.c */
@@ -1073,10 +1074,11 @@
 /** mh_loop_fd_close() - stops watching @fd and leaves it open. */
 void mh_loop_fd_close(struct mh_loop *l, int fd);
 /**
- * mh_loop_before() - calls @fn before each wait.  @fn returns the longest time
- * to wait in microseconds, -1: no limit.
+ * mh_loop_before_wait() - calls @fn before each wait.  @fn returns the longest
+ * time to wait in microseconds, -1: no limit.
  */
-void mh_loop_before(struct mh_loop *l, int64_t (*fn)(void *arg), void *arg);
+void mh_loop_before_wait(
+    struct mh_loop *l, int64_t (*fn)(void *arg), void *arg);
 /** mh_loop_run() - handles events until mh_loop_stop(). */
 void mh_loop_run(struct mh_loop *l);
 void mh_loop_stop(struct mh_loop *l);
@@ -1119,7 +1121,7 @@
 struct mh_http_done {
 	uint32_t status; /* 0: no response */
 	bool sent; /* false: no connection was made */
-	bool whole; /* the response is complete */
+	bool complete; /* the response is complete */
 	bool broke; /* the connection failed during the call */
 	GBytes *body;
 	uint64_t index; /* X-Consul-Index */
@@ -1168,7 +1170,7 @@
 	const char *key_file;
 	void (*on_request)(void *arg, struct mh_http_req *r);
 	/* the caller disconnected before its response was given */
-	void (*on_gone)(void *arg, struct mh_http_req *r);
+	void (*on_caller_left)(void *arg, struct mh_http_req *r);
 	void *arg;
 };
 
@@ -1180,8 +1182,9 @@
 void mh_httpd_stop(struct mh_httpd *h);
 /** mh_httpd_close() - refuses new requests with 503 until destroyed. */
 void mh_httpd_close(struct mh_httpd *h);
-/** mh_httpd_open() - number of requests not yet read or answered in full. */
-uint32_t mh_httpd_open(const struct mh_httpd *h);
+/** mh_httpd_active_count() - number of requests not yet read or answered in
+ * full. */
+uint32_t mh_httpd_active_count(const struct mh_httpd *h);
 const char *mh_req_method(const struct mh_http_req *r);
 const char *mh_req_path(const struct mh_http_req *r);
 const char *mh_req_header(const struct mh_http_req *r, const char *name);
@@ -1202,8 +1205,8 @@
 void mh_req_stream(struct mh_http_req *r, uint32_t status, const char *type);
 void mh_req_stream_add(struct mh_http_req *r, GBytes *part);
 void mh_req_stream_end(struct mh_http_req *r);
-/** mh_req_cut() - closes the connection before the response is complete. */
-void mh_req_cut(struct mh_http_req *r);
+/** mh_req_abort() - closes the connection before the response is complete. */
+void mh_req_abort(struct mh_http_req *r);
 
 /* poisonmember.c: service "poison" of entry daemons and side processes */
 
@@ -1282,7 +1285,7 @@
 	const char *name;
 	const char *role;
 	enum mh_daemon_kind kind;
-	int64_t linger_us; /* minimum time of the drain */
+	int64_t min_drain_us; /* minimum time of the drain */
 	/* creates the services and d->httpd */
 	bool (*create)(struct mh_daemon *d, GError **err);
 	/* starts the drain; SIGKILL follows in d->grace_us */
@@ -1300,9 +1303,9 @@
 	struct mh_client *client;
 	struct mh_httpd *httpd;
 	int64_t grace_us; /* from the first signal to SIGKILL */
-	struct mh_timer *drain; /* next check; NULL: not draining */
-	int64_t drain_at_us;
-	int64_t idle_at_us; /* no work remains since then; 0: work remains */
+	struct mh_timer *drain_timer; /* next check; NULL: not draining */
+	int64_t drain_start_us;
+	int64_t idle_since_us; /* no work remains since then; 0: work remains */
 };
 
 /** mh_daemon_main() - runs until drained; returns the exit status. */
--- a/lib/member.c
+++ b/lib/member.c
@@ -477,7 +477,7 @@
 	}
 	set_str(&p->domain, vm->domain);
 	p->listed = true;
-	p->list_draining = vm->leaving;
+	p->list_draining = vm->draining;
 	p->absent_since_us = 0;
 }
 
--- a/lib/mesh.c
+++ b/lib/mesh.c
@@ -601,7 +601,7 @@
 	case MH_MSG_FRAME:
 		take_frame(m, &msg->u.link);
 		break;
-	case MH_MSG_LINK_HEARD:
+	case MH_MSG_LINK_RX_PROGRESS:
 		take_partial_frame(m, msg->u.link.conn);
 		break;
 	case MH_MSG_LINK_UP:
--- a/lib/roster.c
+++ b/lib/roster.c
@@ -78,7 +78,7 @@
 hash_vm(const struct mh_vm *vm)
 {
 	char *text = g_strdup_printf("%s|%s|%s|%s|%s|%d", vm->id, vm->addr,
-	    vm->role, vm->pool, vm->domain, vm->leaving);
+	    vm->role, vm->pool, vm->domain, vm->draining);
 	uint64_t h = mh_hash(text, strlen(text)) | 1;
 
 	g_free(text);
@@ -114,7 +114,7 @@
 		return;
 	row = g_new0(struct row, 1);
 	row->vm = mh_vm_new(
-	    vm->id, vm->addr, vm->role, vm->pool, vm->domain, vm->leaving);
+	    vm->id, vm->addr, vm->role, vm->pool, vm->domain, vm->draining);
 	row->hash = hash;
 	record_change(r, vm, was, hash);
 	g_hash_table_replace(r->rows, row->vm->id, row);
@@ -198,7 +198,7 @@
 {
 	const struct mh_peer *p;
 
-	if (row->hash == 0 || row->vm->leaving)
+	if (row->hash == 0 || row->vm->draining)
 		return false;
 	if (strcmp(row->vm->id, r->vm) == 0)
 		return !mh_member_draining(r->k);
@@ -399,7 +399,7 @@
 		return;
 	r->last_poll_us = MAX(now, 1);
 	if (stale || mh_member_is_watcher(r->k, "vmlist")) {
-		mh_post(r->k, "vmlist", mh_msg_new(MH_MSG_VMLIST_ASK));
+		mh_post(r->k, "vmlist", mh_msg_new(MH_MSG_VMLIST_READ));
 		mh_count(r->k, "member_list_reads", 1);
 		return;
 	}
@@ -480,7 +480,7 @@
 	vm->role = row->vm->role;
 	vm->pool = row->vm->pool;
 	vm->domain = row->vm->domain;
-	vm->leaving = row->vm->leaving;
+	vm->leaving = row->vm->draining;
 	vm->removed = row->hash == 0;
 	return vm;
 }
--- a/lib/run.c
+++ b/lib/run.c
@@ -37,23 +37,23 @@
 is_done(struct mh_daemon *d)
 {
 	if (!d->ops->idle(d)) {
-		d->idle_at_us = 0;
+		d->idle_since_us = 0;
 		return false;
 	}
-	if (d->idle_at_us == 0)
-		d->idle_at_us = mh_now(d->k);
-	return mh_httpd_open(d->httpd) == 0 ||
-	    mh_now(d->k) - d->idle_at_us >= FLUSH_TIMEOUT_US;
+	if (d->idle_since_us == 0)
+		d->idle_since_us = mh_now(d->k);
+	return mh_httpd_active_count(d->httpd) == 0 ||
+	    mh_now(d->k) - d->idle_since_us >= FLUSH_TIMEOUT_US;
 }
 
 static void
 check_drained(void *arg)
 {
 	struct mh_daemon *d = arg;
-	int64_t elapsed_us = mh_now(d->k) - d->drain_at_us;
+	int64_t elapsed_us = mh_now(d->k) - d->drain_start_us;
 
-	d->drain = mh_timer_start(d->k, DRAIN_CHECK_US, check_drained, d);
-	if (elapsed_us < d->ops->linger_us)
+	d->drain_timer = mh_timer_start(d->k, DRAIN_CHECK_US, check_drained, d);
+	if (elapsed_us < d->ops->min_drain_us)
 		return;
 	if (!is_done(d) && elapsed_us < d->grace_us - EXIT_MARGIN_US)
 		return;
@@ -73,12 +73,12 @@
 {
 	struct mh_daemon *d = arg;
 
-	if (d->drain != NULL)
+	if (d->drain_timer != NULL)
 		return;
 	mh_log(d->k, "daemon", "Draining.");
-	d->drain_at_us = mh_now(d->k);
+	d->drain_start_us = mh_now(d->k);
 	d->ops->drain(d);
-	d->drain = mh_timer_start(d->k, DRAIN_CHECK_US, check_drained, d);
+	d->drain_timer = mh_timer_start(d->k, DRAIN_CHECK_US, check_drained, d);
 }
 
 static void
--- a/lib/side.c
+++ b/lib/side.c
@@ -381,7 +381,7 @@
 handle(void *self, struct mh_msg *m)
 {
 	switch (m->kind) {
-	case MH_MSG_RAN:
+	case MH_MSG_RUN_DONE:
 		if (!order_ended(self, &m->u.run))
 			side_run_ended(self, &m->u.run);
 		break;
--- a/lib/sidecall.c
+++ b/lib/sidecall.c
@@ -533,7 +533,7 @@
 static Mh__Outcome
 outcome_of(const struct call *c, const struct mh_run_msg *m)
 {
-	bool whole = m->whole && fits_in_frame(m);
+	bool whole = m->complete && fits_in_frame(m);
 
 	if (!m->sent)
 		return c->at_most_once ? MH__OUTCOME__NOT_RUN
@@ -583,7 +583,7 @@
 		mh_poison_call_broke(s->k, &e);
 		return;
 	}
-	if (!m->whole)
+	if (!m->complete)
 		return;
 	mh_poison_completed(s->k, c->fingerprint, s->pool);
 	if (s->broken_since_us == 0)
--- a/lib/vmlist.c
+++ b/lib/vmlist.c
@@ -1,7 +1,7 @@
 /**
  * DOC: HTTP client of the platform's VM list: service "vmlist".
  *
- * Reads the list once per MH_MSG_VMLIST_ASK: a JSON array of objects with
+ * Reads the list once per MH_MSG_VMLIST_READ: a JSON array of objects with
  * id, addr, role, pool, domain and state.
  */
 
@@ -56,7 +56,7 @@
 	struct vmlist *v = arg;
 	struct mh_msg *m = mh_msg_new(MH_MSG_VMLIST);
 
-	if (d->whole && d->status == 200)
+	if (d->complete && d->status == 200)
 		m->u.vmlist.vms = mh_vmlist_parse(d->body);
 	m->u.vmlist.ok = m->u.vmlist.vms != NULL;
 	mh_post(v->k, "roster", m);
@@ -70,7 +70,7 @@
 		.method = "GET", .url = v->url, .timeout_us = CALL_TIMEOUT_US
 	};
 
-	if (m->kind == MH_MSG_VMLIST_ASK)
+	if (m->kind == MH_MSG_VMLIST_READ)
 		mh_client_start(v->client, &call, NULL, on_done, v);
 }
 
--- a/marlhoistd/http.c
+++ b/marlhoistd/http.c
@@ -97,7 +97,7 @@
 		m->u.request.key = g_strdup(auth + strlen(bearer));
 	m->u.request.idempotency_key =
 	    g_strdup(mh_req_header(r, "Idempotency-Key"));
-	m->u.request.class_asked = g_strdup(mh_req_header(r, "Marl-Class"));
+	m->u.request.class_name = g_strdup(mh_req_header(r, "Marl-Class"));
 	m->u.request.deadline_us = deadline_us;
 	m->u.request.labels =
 	    g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
@@ -110,7 +110,7 @@
 on_disconnect(void *arg, struct mh_http_req *r)
 {
 	struct http *h = arg;
-	struct mh_msg *m = mh_msg_new(MH_MSG_GONE);
+	struct mh_msg *m = mh_msg_new(MH_MSG_CALLER_LEFT);
 
 	m->u.request.id = mh_req_id(r);
 	mh_post(h->k, "entry", m);
@@ -164,7 +164,7 @@
 		.cert_file = s->cert_file,
 		.key_file = s->key_file,
 		.on_request = on_request,
-		.on_gone = on_disconnect,
+		.on_caller_left = on_disconnect,
 		.arg = h };
 
 	h->k = mh_loop_kern(l);
--- a/marlhoistd/marlhoistd.c
+++ b/marlhoistd/marlhoistd.c
@@ -13,7 +13,7 @@
 static const struct mh_daemon_ops ops = { .name = "marlhoistd",
 	.role = "entry",
 	.kind = MH_DAEMON_ENTRY,
-	.linger_us = LINGER_US,
+	.min_drain_us = LINGER_US,
 	.create = create,
 	.drain = drain,
 	.idle = idle };
--- a/marlload/marlload.c
+++ b/marlload/marlload.c
@@ -168,7 +168,7 @@
 	s->status = d->status;
 	s->done_us = mh_now(l->k) - l->start_us;
 	s->ended = true;
-	if (d->whole)
+	if (d->complete)
 		request_verify(s);
 	l->in_flight--;
 	maybe_finish(l);
--- a/marlload/report.c
+++ b/marlload/report.c
@@ -255,15 +255,18 @@
 	print_outcomes(l);
 	print_cost(l, good);
 	print(l, "first_token_p50",
-	    (double)mh_hist_at(l->first_token[0], 0.5) / MH_US_PER_MS, "ms");
+	    (double)mh_hist_quantile(l->first_token[0], 0.5) / MH_US_PER_MS,
+	    "ms");
 	print(l, "first_token_p95",
-	    (double)mh_hist_at(l->first_token[0], 0.95) / MH_US_PER_MS, "ms");
+	    (double)mh_hist_quantile(l->first_token[0], 0.95) / MH_US_PER_MS,
+	    "ms");
 	print(l, "between_tokens_p95",
-	    (double)mh_hist_at(l->between_tokens, 0.95) / MH_US_PER_MS, "ms");
-	print(l, "stage_added_p50", (double)mh_hist_at(l->stage_added, 0.5),
-	    "us");
-	print(l, "stage_added_p99", (double)mh_hist_at(l->stage_added, 0.99),
-	    "us");
+	    (double)mh_hist_quantile(l->between_tokens, 0.95) / MH_US_PER_MS,
+	    "ms");
+	print(l, "stage_added_p50",
+	    (double)mh_hist_quantile(l->stage_added, 0.5), "us");
+	print(l, "stage_added_p99",
+	    (double)mh_hist_quantile(l->stage_added, 0.99), "us");
 	write_series(l);
 	write_misses(l);
 }
--- a/marlsided/marlsided.c
+++ b/marlsided/marlsided.c
@@ -17,7 +17,7 @@
 static const struct mh_daemon_ops ops = { .name = "marlsided",
 	.role = "side",
 	.kind = MH_DAEMON_SIDE,
-	.linger_us = LINGER_US,
+	.min_drain_us = LINGER_US,
 	.create = create,
 	.drain = drain,
 	.idle = idle };
--- a/marlstand/engine.c
+++ b/marlstand/engine.c
@@ -209,7 +209,7 @@
 	}
 	if (g->e->fault == FAULT_ERROR ||
 	    (g->e->fault == FAULT_CUT && s->generated > 2)) {
-		mh_req_cut(r);
+		mh_req_abort(r);
 		return false;
 	}
 	if (!s->streaming)
@@ -307,7 +307,7 @@
 		struct mh_http_req *r = mh_httpd_find(g->e->httpd, s->req);
 
 		if (r != NULL)
-			mh_req_cut(r);
+			mh_req_abort(r);
 	}
 	g_ptr_array_set_size(a, 0);
 }
--- a/marlstand/kvstand.c
+++ b/marlstand/kvstand.c
@@ -215,7 +215,7 @@
 	if (ok)
 		reply_watches(p, name);
 	if (mh_random_unit(p->w->k) < p->lost_share) {
-		mh_req_cut(r);
+		mh_req_abort(r);
 		return;
 	}
 	b = g_bytes_new_static(ok ? "true" : "false", ok ? 4 : 5);
@@ -272,7 +272,7 @@
 			    p->w->ctl, ((struct delayed_get *)h)->req);
 
 			if (r != NULL)
-				mh_req_cut(r);
+				mh_req_abort(r);
 		}
 		g_hash_table_remove_all(p->delayed);
 	}
@@ -312,7 +312,7 @@
 
 	if (strcmp(path, "/v1/vms") == 0) {
 		if (p->vms_down) {
-			mh_req_cut(r);
+			mh_req_abort(r);
 			return true;
 		}
 		b = g_bytes_new(p->vms, strlen(p->vms));
@@ -323,7 +323,7 @@
 	if (!g_str_has_prefix(path, KV_PREFIX))
 		return serve_control(p, r);
 	if (p->down) {
-		mh_req_cut(r);
+		mh_req_abort(r);
 		return true;
 	}
 	path += strlen(KV_PREFIX);
--- a/marlstand/marlstand.c
+++ b/marlstand/marlstand.c
@@ -38,7 +38,7 @@
 	struct world w = { .mixed_bodies = 0 };
 	struct mh_httpd_args a = { .listen = "127.0.0.1:0",
 		.on_request = on_request,
-		.on_gone = on_disconnect,
+		.on_caller_left = on_disconnect,
 		.arg = &w };
 	GError *err = NULL;
 	uint32_t seed = 1;
--- a/marlstand/pool.c
+++ b/marlstand/pool.c
@@ -122,7 +122,7 @@
 		break;
 	case FAULT_CUT:
 	case FAULT_DEAD:
-		mh_req_cut(r);
+		mh_req_abort(r);
 		break;
 	case FAULT_GARBAGE:
 		b = g_bytes_new_static("}{", 2);
@@ -150,7 +150,7 @@
 	if (!j->fatal)
 		send_answer(j);
 	else if ((r = mh_httpd_find(e->httpd, j->req)) != NULL)
-		mh_req_cut(r); /* the endpoint crashes */
+		mh_req_abort(r); /* the endpoint crashes */
 	free_job(j);
 	start_next(e);
 }
@@ -228,7 +228,7 @@
 
 	e->calls++;
 	if (e->fault == FAULT_DEAD) {
-		mh_req_cut(r);
+		mh_req_abort(r);
 		return;
 	}
 	if (e->engine != NULL) {
@@ -281,13 +281,13 @@
 		struct mh_http_req *r = mh_httpd_find(e->httpd, o->req);
 
 		if (r != NULL)
-			mh_req_cut(r);
+			mh_req_abort(r);
 	}
 	while ((j = g_queue_pop_head(&e->waiting)) != NULL) {
 		struct mh_http_req *r = mh_httpd_find(e->httpd, j->req);
 
 		if (r != NULL)
-			mh_req_cut(r);
+			mh_req_abort(r);
 		free_job(j);
 	}
 	if (e->engine != NULL)
@@ -300,7 +300,7 @@
 	struct endpoint *e = g_new0(struct endpoint, 1);
 	struct mh_httpd_args a = { .listen = "127.0.0.1:0",
 		.on_request = on_request,
-		.on_gone = on_disconnect,
+		.on_caller_left = on_disconnect,
 		.arg = e };
 
 	e->w = w;
--- a/marlwork/marlwork.c
+++ b/marlwork/marlwork.c
@@ -110,7 +110,8 @@
 		    share(t->refused, t->arrived), "share");
 		if (t->done > 0)
 			print_figure(r, "wait_p95", k->name,
-			    (double)mh_hist_at(t->waits, 0.95) / MH_US_PER_MS,
+			    (double)mh_hist_quantile(t->waits, 0.95) /
+				MH_US_PER_MS,
 			    "ms");
 		sum.arrived += t->arrived;
 		sum.on_time += t->on_time;
--- a/regress/child.c
+++ b/regress/child.c
@@ -54,7 +54,7 @@
 	c->fd =
 	    tcp_dial((uint16_t)(at == NULL ? 0 : strtoul(at + 5, NULL, 10)));
 	setsockopt(c->fd, SOL_SOCKET, SO_RCVBUF, &size, sizeof(size));
-	c->got = g_string_new(NULL);
+	c->received = g_string_new(NULL);
 	unlink(secret);
 	g_free(secret);
 }
@@ -66,11 +66,11 @@
 	static char buf[65536];
 	ssize_t n;
 
-	if (poll(&p, 1, CHILD_MS) != 1)
+	if (poll(&p, 1, CHILD_TIMEOUT_MS) != 1)
 		return false;
 	n = recv(c->fd, buf, MIN(max, sizeof(buf)), 0);
 	if (n > 0)
-		g_string_append_len(c->got, buf, n);
+		g_string_append_len(c->received, buf, n);
 	return n > 0;
 }
 
@@ -83,7 +83,7 @@
 }
 
 bool
-child_leaves(struct child *c, int kill_ms)
+child_terminate(struct child *c, int kill_ms)
 {
 	int64_t deadline_us = g_get_monotonic_time() + kill_ms * MH_US_PER_MS;
 	int status = -1;
@@ -98,6 +98,6 @@
 		waitpid(c->pid, &status, 0);
 	}
 	close(c->fd);
-	g_string_free(c->got, TRUE);
+	g_string_free(c->received, TRUE);
 	return pid == c->pid && status == 0;
 }
--- a/regress/child.h
+++ b/regress/child.h
@@ -5,13 +5,13 @@
 
 #include <sys/types.h>
 
-#define CHILD_MS 10000 /* longest wait for data */
+#define CHILD_TIMEOUT_MS 10000 /* longest wait for data */
 
 /** struct child - a daemon process and a caller's connection to it. */
 struct child {
 	pid_t pid;
 	int fd;
-	GString *got; /* all data received */
+	GString *received; /* all data received */
 };
 
 /** child_main - main() of a daemon. */
@@ -23,10 +23,11 @@
 bool child_read(struct child *c, size_t max);
 void child_send(struct child *c, const char *text);
 /**
- * child_leaves() - sends SIGTERM, and SIGKILL after @kill_ms; frees the rest.
+ * child_terminate() - sends SIGTERM, and SIGKILL after @kill_ms; frees the
+ * rest.
  *
  * Return: whether the daemon exited with status 0 before SIGKILL.
  */
-bool child_leaves(struct child *c, int kill_ms);
+bool child_terminate(struct child *c, int kill_ms);
 
 #endif
--- a/regress/entries.c
+++ b/regress/entries.c
@@ -239,8 +239,8 @@
 
 		if (w->at_us > r->now_us) {
 			if (w->first_us < r->now_us)
-				post_link(w->to, MH_MSG_LINK_HEARD, w->conn,
-				    w->from, false, NULL);
+				post_link(w->to, MH_MSG_LINK_RX_PROGRESS,
+				    w->conn, w->from, false, NULL);
 			i++;
 			continue;
 		}
--- a/regress/main.c
+++ b/regress/main.c
@@ -20,13 +20,13 @@
 static uint32_t first_seed, last_seed;
 
 uint32_t
-regress_first(uint32_t seed)
+regress_first_seed(uint32_t seed)
 {
 	return first_seed != 0 ? first_seed : seed;
 }
 
 uint32_t
-regress_last(uint32_t seed)
+regress_last_seed(uint32_t seed)
 {
 	return last_seed != 0 ? last_seed : seed;
 }
--- a/regress/net.c
+++ b/regress/net.c
@@ -498,11 +498,11 @@
 static int64_t
 next_event(struct net *n)
 {
-	int64_t next = mh_kern_next(n->k);
+	int64_t next = mh_kern_next_us(n->k);
 
 	for (guint i = 0; i < n->nodes->len; i++) {
 		struct net_node *x = n->nodes->pdata[i];
-		int64_t t = is_running(x) ? mh_kern_next(x->k) : -1;
+		int64_t t = is_running(x) ? mh_kern_next_us(x->k) : -1;
 
 		if (t >= 0 && (next < 0 || t < next))
 			next = t;
@@ -528,8 +528,8 @@
 			struct net_node *x = n->nodes->pdata[i];
 
 			if (is_running(x) &&
-			    (mh_kern_next(x->k) <= next &&
-				mh_kern_next(x->k) >= 0))
+			    (mh_kern_next_us(x->k) <= next &&
+				mh_kern_next_us(x->k) >= 0))
 				net_tick(x);
 		}
 		if (mh_now(n->k) >= end_us && next_event(n) > end_us)
--- a/regress/netfake.c
+++ b/regress/netfake.c
@@ -45,7 +45,7 @@
 {
 	struct kv_wait *w = arg;
 
-	g_free(w->q.from);
+	g_free(w->q.reply_to);
 	g_free(w->q.name);
 	g_free(w);
 }
@@ -99,8 +99,8 @@
 
 	m->u.kv.op = q->op;
 	m->u.kv.token = q->token;
-	net_deliver(
-	    x, service_name(q->from), m, x->net->kv_latency_us, NULL, false);
+	net_deliver(x, service_name(q->reply_to), m, x->net->kv_latency_us,
+	    NULL, false);
 }
 
 void
@@ -119,7 +119,8 @@
 			if (n->kv_down)
 				kv_fail(w->node, &w->q);
 			else
-				net_deliver(w->node, service_name(w->q.from),
+				net_deliver(w->node,
+				    service_name(w->q.reply_to),
 				    kv_reply(n, &w->q), n->kv_latency_us, NULL,
 				    false);
 		}
@@ -158,8 +159,8 @@
 	m->u.kv.token = q->token;
 	m->u.kv.ok = true;
 	m->u.kv.found = ok;
-	net_deliver(
-	    x, service_name(q->from), m, x->net->kv_latency_us, NULL, false);
+	net_deliver(x, service_name(q->reply_to), m, x->net->kv_latency_us,
+	    NULL, false);
 }
 
 void
@@ -183,7 +184,7 @@
 	v = g_hash_table_lookup(n->kv, q->name);
 	if (q->op != MH_KV_WATCH || q->index == 0 || n->kv_no_wait ||
 	    (v != NULL && v->index > q->index)) {
-		net_deliver(x, service_name(q->from), kv_reply(n, q),
+		net_deliver(x, service_name(q->reply_to), kv_reply(n, q),
 		    KV_LATENCY_US, NULL, false);
 		return;
 	}
@@ -191,7 +192,7 @@
 	w->node = x;
 	w->incarnation = x->incarnation;
 	w->q = *q;
-	w->q.from = g_strdup(q->from);
+	w->q.reply_to = g_strdup(q->reply_to);
 	w->q.name = g_strdup(q->name);
 	w->q.value = NULL;
 	w->expires_us = mh_now(n->k) + q->wait_us;
@@ -326,7 +327,7 @@
 	x->crash_us = net_now(x->net) + NET_CRASH_DELAY_US;
 	x->crash_count++;
 	for (guint i = 0; i < x->active_runs->len; i++) {
-		struct mh_msg *m = mh_msg_new(MH_MSG_RAN);
+		struct mh_msg *m = mh_msg_new(MH_MSG_RUN_DONE);
 
 		m->u.run.run = g_array_index(x->active_runs, uint64_t, i);
 		m->u.run.sent = m->u.run.broke = true;
@@ -376,7 +377,7 @@
 	}
 	if (handle_crash(x, q))
 		return;
-	m = mh_msg_new(MH_MSG_RAN);
+	m = mh_msg_new(MH_MSG_RUN_DONE);
 	m->u.run.run = q->run;
 	m->u.run.sent = !x->refuses_conn;
 	if (!x->refuses_conn) {
@@ -389,7 +390,7 @@
 			    GUINT_TO_POINTER(GPOINTER_TO_UINT(runs) + 1));
 		}
 		m->u.run.status = x->status == 0 ? 200 : x->status;
-		m->u.run.whole = !x->truncates;
+		m->u.run.complete = !x->truncates;
 		m->u.run.body = run_body(x, q);
 		if (q->kind == MH_GENERATE && x->status == 0)
 			run_stream(x, q, max_tokens(q) + x->surplus_tokens);
@@ -442,7 +443,7 @@
 	m->u.request.key =
 	    g_strdup(a->api_key == NULL ? "party-key" : a->api_key);
 	m->u.request.idempotency_key = g_strdup(a->idempotency_key);
-	m->u.request.class_asked = g_strdup(a->class_name);
+	m->u.request.class_name = g_strdup(a->class_name);
 	m->u.request.deadline_us = a->deadline_us;
 	m->u.request.body = g_bytes_new(body, strlen(body));
 	mh_post(entry->k, "entry", m);
@@ -452,7 +453,7 @@
 void
 net_disconnect_caller(struct net_node *entry, uint64_t caller)
 {
-	struct mh_msg *m = mh_msg_new(MH_MSG_GONE);
+	struct mh_msg *m = mh_msg_new(MH_MSG_CALLER_LEFT);
 
 	m->u.request.id = caller;
 	mh_post(entry->k, "entry", m);
--- a/regress/regress.h
+++ b/regress/regress.h
@@ -56,10 +56,11 @@
 extern const char *regress_dir;
 
 /**
- * regress_first() - the first seed of a test that runs a range of seeds: @seed,
- * or the one from the command line; regress_last() - likewise the last.
+ * regress_first_seed() - the first seed of a test that runs a range of seeds:
+ * @seed, or the one from the command line; regress_last_seed() - likewise the
+ * last.
  */
-uint32_t regress_first(uint32_t seed);
-uint32_t regress_last(uint32_t seed);
+uint32_t regress_first_seed(uint32_t seed);
+uint32_t regress_last_seed(uint32_t seed);
 
 #endif
--- a/regress/t_adapter.c
+++ b/regress/t_adapter.c
@@ -72,7 +72,7 @@
 	g_strlcpy(g->last_path, mh_req_path(r), sizeof(g->last_path));
 	g_strlcpy(g->last_key, key == NULL ? "" : key, sizeof(g->last_key));
 	if (p->status == 0) {
-		mh_req_cut(r);
+		mh_req_abort(r);
 		return;
 	}
 	if (p->status == 1)
@@ -82,7 +82,7 @@
 		mh_req_stream(r, p->status, "text/event-stream");
 		mh_req_stream_add(r, b);
 		if (p->cut_stream)
-			mh_req_cut(r);
+			mh_req_abort(r);
 		else if (!g->leave_open)
 			mh_req_stream_end(r);
 	} else {
@@ -116,9 +116,9 @@
 		return;
 	}
 	g->done++;
-	if (m->kind == MH_MSG_RAN) {
+	if (m->kind == MH_MSG_RUN_DONE) {
 		g->status = m->u.run.status;
-		g->whole = m->u.run.whole;
+		g->whole = m->u.run.complete;
 		g->sent = m->u.run.sent;
 	} else if (m->kind == MH_MSG_KV_DONE) {
 		g->whole = m->u.kv.ok;
@@ -145,7 +145,7 @@
 {
 	struct mh_httpd_args a = { .listen = "127.0.0.1:0",
 		.on_request = on_request,
-		.on_gone = on_disconnect,
+		.on_caller_left = on_disconnect,
 		.arg = g };
 
 	memset(g, 0, sizeof(*g));
@@ -602,7 +602,7 @@
 		mh_kern_add(g.k, "conf", &g, on_message, NULL);
 		mh_kv_create(g.k, g.client, g.url);
 		m->u.kv.op = c->op;
-		m->u.kv.from = g_strdup("conf");
+		m->u.kv.reply_to = g_strdup("conf");
 		m->u.kv.name = g_strdup("config/head");
 		m->u.kv.index = 3;
 		m->u.kv.wait_us = MH_US_PER_S;
@@ -648,7 +648,7 @@
 		g.reply = &vmlist_cases[i].reply;
 		mh_kern_add(g.k, "roster", &g, on_message, NULL);
 		mh_vmlist_create(g.k, g.client, g.url);
-		mh_post(g.k, "vmlist", mh_msg_new(MH_MSG_VMLIST_ASK));
+		mh_post(g.k, "vmlist", mh_msg_new(MH_MSG_VMLIST_READ));
 		mh_loop_run(g.loop);
 		CU_ASSERT_EQUAL(g.whole, vmlist_cases[i].ok);
 		rig_close(&g);
@@ -840,7 +840,7 @@
 	if (m->kind == MH_MSG_LINK_UP)
 		s->conn = m->u.link.conn;
 	s->down |= m->kind == MH_MSG_LINK_DOWN;
-	s->progress += m->kind == MH_MSG_LINK_HEARD;
+	s->progress += m->kind == MH_MSG_LINK_RX_PROGRESS;
 	s->frames += m->kind == MH_MSG_FRAME;
 }
 
--- a/regress/t_crash.c
+++ b/regress/t_crash.c
@@ -158,7 +158,8 @@
 static void
 test_both(void)
 {
-	for (uint32_t seed = regress_first(1); seed <= regress_last(8); seed++)
+	for (uint32_t seed = regress_first_seed(1);
+	     seed <= regress_last_seed(8); seed++)
 		two_poison_and_crashes(seed);
 }
 
--- a/regress/t_drain.c
+++ b/regress/t_drain.c
@@ -320,7 +320,7 @@
 	const struct mh_daemon_ops ops = { .name = "drained",
 		.role = "entry",
 		.kind = MH_DAEMON_ENTRY,
-		.linger_us = LINGER_US,
+		.min_drain_us = LINGER_US,
 		.create = d_create,
 		.drain = d_drain,
 		.idle = idle };
@@ -357,12 +357,13 @@
 
 	while (child_read(c, SIZE_MAX))
 		continue;
-	body = strstr(c->got->str, "\r\n\r\nx");
+	body = strstr(c->received->str, "\r\n\r\nx");
 	CU_ASSERT_PTR_NOT_NULL(body);
 	if (body != NULL)
 		CU_ASSERT_EQUAL(strlen(body + 4), ANSWER_BYTES);
 	for (int ms = 0;
-	     ms < CHILD_MS && waitpid(c->pid, &status, WNOHANG) == 0; ms += 10)
+	     ms < CHILD_TIMEOUT_MS && waitpid(c->pid, &status, WNOHANG) == 0;
+	     ms += 10)
 		poll(NULL, 0, 10);
 	CU_ASSERT_EQUAL(status, 0);
 	if (status == -1) {
@@ -370,7 +371,7 @@
 		waitpid(c->pid, &status, 0);
 	}
 	close(c->fd);
-	g_string_free(c->got, TRUE);
+	g_string_free(c->received, TRUE);
 }
 
 #define END "Host: h\r\nConnection: close\r\n\r\n"
@@ -406,7 +407,7 @@
 	    "POST /a HTTP/1.1\r\nExpect: 100-continue\r\n"
 	    "Content-Length: 4\r\n" END);
 	child_read(&c, 25);
-	CU_ASSERT_PTR_NOT_NULL(strstr(c.got->str, " 100 "));
+	CU_ASSERT_PTR_NOT_NULL(strstr(c.received->str, " 100 "));
 	child_send(&c, "ab");
 	child_drain(&c);
 	child_send(&c, "cd");
@@ -430,10 +431,10 @@
 	child_start(&busy, answers_never);
 	child_start(&unread, answers);
 	g_unsetenv("MARLHOIST_GRACE");
-	CU_ASSERT_TRUE(child_leaves(&busy, KILL_MS));
+	CU_ASSERT_TRUE(child_terminate(&busy, KILL_MS));
 	child_send(&unread, "GET /a HTTP/1.1\r\n" END);
 	child_read(&unread, 1);
-	CU_ASSERT_TRUE(child_leaves(&unread, KILL_MS));
+	CU_ASSERT_TRUE(child_terminate(&unread, KILL_MS));
 }
 
 #define WAITING 40 /* connections not yet accepted */
@@ -519,8 +520,8 @@
 		mh_loop_fd(p.loop, p.fd[i], true, false, on_answer, &p);
 	}
 	mh_httpd_stop(p.h);
-	p.timeout =
-	    mh_timer_start(p.k, CHILD_MS * MH_US_PER_MS, on_timeout, &p);
+	p.timeout = mh_timer_start(
+	    p.k, CHILD_TIMEOUT_MS * MH_US_PER_MS, on_timeout, &p);
 	mh_loop_run(p.loop);
 	CU_ASSERT_EQUAL(p.closed, WAITING);
 	CU_ASSERT_EQUAL(p.answered, WAITING);
--- a/regress/t_entry.c
+++ b/regress/t_entry.c
@@ -354,8 +354,8 @@
 		.body = "{\"input\":\"x\",\"max_tokens\":8,"
 			"\"stream\":true}" };
 
-	for (uint32_t seed = regress_first(1); seed <= regress_last(6);
-	     seed++) {
+	for (uint32_t seed = regress_first_seed(1);
+	     seed <= regress_last_seed(6); seed++) {
 		struct entry_world w;
 		uint64_t ids[80];
 		uint32_t done = 0;
--- a/regress/t_grace.c
+++ b/regress/t_grace.c
@@ -390,11 +390,13 @@
 	kill(c.pid, SIGTERM);
 	while (child_read(&c, SIZE_MAX))
 		continue;
-	CU_ASSERT_TRUE(g_str_has_prefix(c.got->str, "HTTP/1.1 503 "));
-	CU_ASSERT_PTR_NOT_NULL(strstr(c.got->str, "\r\nRetry-After: "));
-	CU_ASSERT_PTR_NOT_NULL(strstr(c.got->str, "\r\nConnection: close\r"));
-	CU_ASSERT_PTR_NOT_NULL(strstr(c.got->str, "\"outcome\":\"not-run\""));
-	CU_ASSERT_TRUE(child_leaves(&c, 2000));
+	CU_ASSERT_TRUE(g_str_has_prefix(c.received->str, "HTTP/1.1 503 "));
+	CU_ASSERT_PTR_NOT_NULL(strstr(c.received->str, "\r\nRetry-After: "));
+	CU_ASSERT_PTR_NOT_NULL(
+	    strstr(c.received->str, "\r\nConnection: close\r"));
+	CU_ASSERT_PTR_NOT_NULL(
+	    strstr(c.received->str, "\"outcome\":\"not-run\""));
+	CU_ASSERT_TRUE(child_terminate(&c, 2000));
 }
 
 /* the setting */
--- a/regress/t_handoff.c
+++ b/regress/t_handoff.c
@@ -257,7 +257,8 @@
 static void
 test_drain_at_any_moment(void)
 {
-	for (uint32_t seed = regress_first(1); seed <= regress_last(60); seed++)
+	for (uint32_t seed = regress_first_seed(1);
+	     seed <= regress_last_seed(60); seed++)
 		CU_ASSERT_TRUE(continues(seed, false));
 }
 
@@ -272,7 +273,8 @@
 static void
 test_crash_at_any_moment(void)
 {
-	for (uint32_t seed = regress_first(1); seed <= regress_last(60); seed++)
+	for (uint32_t seed = regress_first_seed(1);
+	     seed <= regress_last_seed(60); seed++)
 		CU_ASSERT_TRUE(continues(seed, true));
 }
 
@@ -339,8 +341,8 @@
 static void
 test_role_lost_repeatedly(void)
 {
-	for (uint32_t seed = regress_first(1); seed <= regress_last(3);
-	     seed++) {
+	for (uint32_t seed = regress_first_seed(1);
+	     seed <= regress_last_seed(3); seed++) {
 		GRand *rand = g_rand_new_with_seed(seed);
 		struct mrig *r = mrig_create();
 		struct ent all[ENTRIES] = { 0 };
--- a/regress/t_http.c
+++ b/regress/t_http.c
@@ -679,7 +679,7 @@
 	struct rlimit l, low;
 	int lowest;
 
-	mh_loop_before(r->loop, count_loop, r);
+	mh_loop_before_wait(r->loop, count_loop, r);
 	raw(r, "GET /1 HTTP/1.1\r\nHost: h\r\n" END);
 	getrlimit(RLIMIT_NOFILE, &l);
 	low = l;
@@ -805,7 +805,7 @@
 	for (size_t i = 0; i < G_N_ELEMENTS(texts); i++) {
 		struct hrig *r = hrig_create();
 
-		mh_loop_before(r->loop, count_loop, r);
+		mh_loop_before_wait(r->loop, count_loop, r);
 		r->answer_bytes = LONG_ANSWER;
 		raw_slow(r, texts[i], 300 * MH_US_PER_MS);
 		mh_timer_start(r->k, 100 * MH_US_PER_MS, on_shutdown, r);
--- a/regress/t_kern.c
+++ b/regress/t_kern.c
@@ -39,12 +39,12 @@
 	mh_timer_start(p.k, 20, fire_a, &p);
 	mh_timer_start(p.k, 10, fire_b, &p);
 	p.t = mh_timer_start(p.k, 15, fire_a, &p);
-	CU_ASSERT_EQUAL(mh_kern_next(p.k), 10);
+	CU_ASSERT_EQUAL(mh_kern_next_us(p.k), 10);
 	mh_kern_advance(p.k, 30, 0);
 	CU_ASSERT_EQUAL(p.n, 2);
 	CU_ASSERT_EQUAL(p.order[0], 2);
 	CU_ASSERT_EQUAL(p.order[1], 1);
-	CU_ASSERT_EQUAL(mh_kern_next(p.k), -1);
+	CU_ASSERT_EQUAL(mh_kern_next_us(p.k), -1);
 	mh_kern_destroy(p.k);
 }
 
@@ -68,7 +68,7 @@
 {
 	struct mh_kern *k = mh_kern_create(1);
 
-	mh_post(k, "nobody", mh_msg_new(MH_MSG_GONE));
+	mh_post(k, "nobody", mh_msg_new(MH_MSG_CALLER_LEFT));
 	CU_ASSERT_EQUAL(mh_counter(k, "kern_undelivered"), 1);
 	mh_kern_destroy(k);
 }
@@ -81,9 +81,9 @@
 	for (int i = 1; i <= 1000; i++)
 		mh_hist_add(h, i * 1000);
 	CU_ASSERT_EQUAL(mh_hist_count(h), 1000);
-	CU_ASSERT(mh_hist_at(h, 0.5) > 480000);
-	CU_ASSERT(mh_hist_at(h, 0.5) < 520000);
-	CU_ASSERT(mh_hist_at(h, 0.99) > 950000);
+	CU_ASSERT(mh_hist_quantile(h, 0.5) > 480000);
+	CU_ASSERT(mh_hist_quantile(h, 0.5) < 520000);
+	CU_ASSERT(mh_hist_quantile(h, 0.99) > 950000);
 	mh_hist_destroy(h);
 }
 
--- a/regress/t_latecrash.c
+++ b/regress/t_latecrash.c
@@ -74,8 +74,8 @@
 		{ 1000 * MS, 2, 3, false },
 	};
 
-	for (uint32_t seed = regress_first(1); seed <= regress_last(3);
-	     seed++) {
+	for (uint32_t seed = regress_first_seed(1);
+	     seed <= regress_last_seed(3); seed++) {
 		for (size_t i = 0; i < G_N_ELEMENTS(rows); i++)
 			CU_ASSERT_TRUE(is_contained(&rows[i], seed));
 	}
@@ -88,7 +88,8 @@
 	static const struct late_row row = { 700 * MS, 2, 1, false };
 	static const uint32_t more[] = { 64, 81, 97 };
 
-	for (uint32_t seed = regress_first(6); seed <= regress_last(7); seed++)
+	for (uint32_t seed = regress_first_seed(6);
+	     seed <= regress_last_seed(7); seed++)
 		CU_ASSERT_TRUE(is_contained(&row, seed));
 	for (size_t i = 0; i < G_N_ELEMENTS(more); i++)
 		CU_ASSERT_TRUE(is_contained(&row, more[i]));
@@ -101,7 +102,8 @@
 	static const struct late_row row = { 1500 * MS, 1, 1, false };
 	static const uint32_t more[] = { 21, 64 };
 
-	for (uint32_t seed = regress_first(9); seed <= regress_last(12); seed++)
+	for (uint32_t seed = regress_first_seed(9);
+	     seed <= regress_last_seed(12); seed++)
 		CU_ASSERT_TRUE(is_contained(&row, seed));
 	for (size_t i = 0; i < G_N_ELEMENTS(more); i++)
 		CU_ASSERT_TRUE(is_contained(&row, more[i]));
@@ -120,8 +122,8 @@
 		CU_ASSERT_TRUE(is_contained(&one, of_one[i]));
 	for (size_t i = 0; i < G_N_ELEMENTS(of_two); i++)
 		CU_ASSERT_TRUE(is_contained(&two, of_two[i]));
-	for (uint32_t seed = regress_first(1); seed <= regress_last(0);
-	     seed++) {
+	for (uint32_t seed = regress_first_seed(1);
+	     seed <= regress_last_seed(0); seed++) {
 		CU_ASSERT_TRUE(is_contained(&one, seed));
 		CU_ASSERT_TRUE(is_contained(&two, seed));
 	}
--- a/regress/t_leave.c
+++ b/regress/t_leave.c
@@ -246,7 +246,7 @@
 	t.l = mh_loop_create(k, NULL);
 	CU_ASSERT_EQUAL(pipe(t.pipe), 0);
 	mh_loop_fd(t.l, t.pipe[0], true, false, on_readable, &t);
-	mh_loop_before(t.l, delay_iteration, &t);
+	mh_loop_before_wait(t.l, delay_iteration, &t);
 	mh_timer_start(k, 10 * MS, on_end, &t);
 	mh_loop_run(t.l);
 	CU_ASSERT_TRUE(t.ended);
@@ -338,7 +338,7 @@
 	CU_ASSERT_PTR_NOT_NULL_FATAL(h);
 	t.caller = tcp_dial(mh_httpd_port(h));
 	mh_loop_fd(t.l, t.pipe[0], true, false, on_pipe, &t);
-	mh_loop_before(t.l, send_last, &t);
+	mh_loop_before_wait(t.l, send_last, &t);
 	mh_loop_run(t.l);
 	CU_ASSERT_TRUE(t.ended);
 	CU_ASSERT_EQUAL(t.read_after, 0);
--- a/regress/t_relay.c
+++ b/regress/t_relay.c
@@ -527,7 +527,8 @@
 static void
 test_split(void)
 {
-	for (uint32_t s = regress_first(1); s <= regress_last(SEEDS); s++)
+	for (uint32_t s = regress_first_seed(1); s <= regress_last_seed(SEEDS);
+	     s++)
 		run_session(s, false);
 }
 
@@ -535,7 +536,8 @@
 static void
 test_cut(void)
 {
-	for (uint32_t s = regress_first(1); s <= regress_last(SEEDS); s++)
+	for (uint32_t s = regress_first_seed(1); s <= regress_last_seed(SEEDS);
+	     s++)
 		run_session(s, true);
 }
 
--- a/regress/t_stream.c
+++ b/regress/t_stream.c
@@ -345,7 +345,7 @@
 static void
 test_drawn(void)
 {
-	uint32_t first = regress_first(1), last = regress_last(400);
+	uint32_t first = regress_first_seed(1), last = regress_last_seed(400);
 
 	memset(&totals, 0, sizeof(totals));
 	for (uint32_t from = first; from <= last; from += LANES_PER_RIG) {
