--- a/lib/broker.c
+++ b/lib/broker.c
@@ -3,8 +3,8 @@
  *
  * All pieces of a slice are scheduled by one entry, so that calls are full. If
  * that entry dies or falls silent its jobs are sent to the next coordinator,
- * which continues from the computed stages: a piece may be computed twice, a
- * request is sent once. A coordinator that drains, or that another entry
+ * which continues from the computed stages: a piece may be computed twice, but
+ * a request is sent once. A coordinator that drains, or that another entry
  * replaces, hands off its jobs with all computed results.
  */
 
@@ -196,9 +196,9 @@
 }
 
 /*
- * A process that has just started knows no other entry and would do its stage
- * work alone, in small calls that occupy the endpoints: so it waits for the
- * heartbeats of the others.
+ * A process that has just started has no heartbeats of other entries and would
+ * do its stage work alone, in small calls that occupy the endpoints. So it
+ * waits for these heartbeats first.
  */
 void
 mh_broker_submit(struct mh_broker *b, struct mh_job *j)
@@ -215,8 +215,8 @@
 }
 
 /*
- * Results of a job whose coordinator departed are known to this entry alone. If
- * it doesn't free them, they occupy the endpoints' result memory until they
+ * Results of a job whose coordinator departed are recorded by this entry alone.
+ * If it doesn't free them, they occupy the endpoints' result memory until they
  * expire.
  */
 static void
@@ -340,8 +340,9 @@
 
 /*
  * The coordinator reports computed results, so that the next one continues from
- * them should it die. Otherwise all begun work was computed again from the
- * first stage, in a pool that the dead coordinator's results still filled.
+ * them should it die. Otherwise all begun work would be recomputed from the
+ * first stage, in a pool whose result memory the dead coordinator's results
+ * still occupy.
  */
 static void
 on_job_step(void *arg, const char *node, const Mh__Frame *f)
@@ -470,8 +471,8 @@
 
 	m.id = j->id;
 	/*
-	 * An entry of an earlier version doesn't know this end and reads
-	 * MH_JOB_FAILED.
+	 * An entry of an earlier version does not read the field for this end
+	 * of a job and takes it for MH_JOB_FAILED.
 	 */
 	m.held = end == MH_JOB_QUARANTINED;
 	m.end = m.held ? MH_JOB_FAILED : end;
@@ -538,9 +539,10 @@
 		return;
 	}
 	/*
-	 * The last stage first: on the results of an earlier stage the
-	 * requester would discard what a later one reads if it still has that
-	 * later stage as computed, and both would be computed again.
+	 * Report the last stage first. A requester that receives the results
+	 * of an earlier stage while it still records a later one as computed
+	 * discards the results that the later one reads, and both would be
+	 * computed again.
 	 */
 	for (uint32_t s = j->n_stages; s > 0 && end == MH_JOB_HANDED_OFF; s--)
 		mh_broker_stage_changed(b, j, s - 1);
@@ -594,11 +596,12 @@
 
 /*
  * Drains the stage scheduler once another entry has become the coordinator,
- * since that one calls the same endpoints. Otherwise both coordinators' calls
- * queued behind each other until the last of the jobs had ended, two seconds
- * for most, and results were refused for lack of result memory that the other
- * did not know of. This is done once per change: jobs of entries that still
- * take this one for the coordinator are served.
+ * since that one calls the same endpoints. Otherwise the calls of both would
+ * queue at the endpoints until the last of the jobs has ended, two seconds for
+ * most, and endpoints would refuse results for lack of result memory, as
+ * neither coordinator accounts for the results of the other. This is done once
+ * per change: jobs of entries that still take this one for the coordinator are
+ * served.
  */
 static void
 check_role(void *arg, struct mh_sched *c, uint32_t index, uint32_t count)
@@ -611,8 +614,8 @@
 	if (mh_sched_is_idle(c) && lost_checks == 0)
 		return;
 	/*
-	 * Reset the count also without work: otherwise the next loss of the
-	 * role was not noticed, and this entry kept its jobs.
+	 * Reset the count also without work: otherwise this entry would not
+	 * notice the next loss of the role, and would keep its jobs.
 	 */
 	if (mh_mesh_is_self(b->m,
 		mh_mesh_coordinator(b->m, mh_slice_work(work, index, count)))) {
--- a/lib/gate.c
+++ b/lib/gate.c
@@ -568,7 +568,7 @@
 
 /*
  * The endpoint may have crashed.  One that is draining or no longer listed is
- * expected to exit, which tells nothing about the request.
+ * expected to exit, which is no evidence against the request.
  */
 static void
 note_break(struct mh_gate *g, const struct mh_try *t, const struct mh_node *n)
--- a/lib/gatejob.c
+++ b/lib/gatejob.c
@@ -95,7 +95,7 @@
 
 /* Refuses a request whose stage work will not be done. */
 static void
-give_up(struct mh_gate *g, struct mh_greq *q, enum mh_gate_refusal why,
+refuse_unserved(struct mh_gate *g, struct mh_greq *q, enum mh_gate_refusal why,
     int64_t retry_us)
 {
 	if (q->runs > 0) /* an endpoint had it before its inputs were lost */
@@ -123,7 +123,7 @@
 	case MH_JOB_REFUSED:
 		q->job = NULL;
 		mh_job_destroy(j);
-		give_up(g, q, MH_TOO_BUSY, retry_us);
+		refuse_unserved(g, q, MH_TOO_BUSY, retry_us);
 		return;
 	case MH_JOB_QUARANTINED:
 		q->job = NULL;
@@ -137,7 +137,7 @@
 	case MH_JOB_HANDED_OFF:
 		q->job = NULL;
 		mh_job_destroy(j);
-		give_up(g, q, MH_NO_ENDPOINT, retry_us);
+		refuse_unserved(g, q, MH_NO_ENDPOINT, retry_us);
 		return;
 	}
 }
--- a/lib/gatelog.c
+++ b/lib/gatelog.c
@@ -72,19 +72,19 @@
 void
 mh_gate_log_cut(struct mh_gate *g, const struct mh_greq *q)
 {
-	uint32_t made = 0, stages = 0;
+	uint32_t n_done = 0, stages = 0;
 
 	for (uint32_t s = 0; q->job != NULL && s < q->job->n_stages; s++) {
 		const struct mh_job_stage *st = &q->job->stages[s];
 
 		stages += st->pieces > 0;
-		made += st->pieces > 0 && mh_job_stage_done(st);
+		n_done += st->pieces > 0 && mh_job_stage_done(st);
 	}
 	mh_count(g->k, "cut", 1);
 	mh_event(g->k, "cut",
 	    "id=%s state=%s stages_made=%u/%u waited_ms=%" PRId64
 	    " left_ms=%" PRId64 " tries=%u runs=%u node=%s",
-	    q->id, state_name(q->state), made, stages,
+	    q->id, state_name(q->state), n_done, stages,
 	    mh_ms(mh_now(g->k) - q->arrived_us),
 	    mh_ms(q->expires_us - mh_now(g->k)), q->n_tried, q->runs,
 	    q->n_tried > 0 ? q->tried[q->n_tried - 1] : "-");
--- a/lib/hserve.c
+++ b/lib/hserve.c
@@ -110,9 +110,9 @@
 	setsockopt(c->fd, SOL_SOCKET, SO_LINGER, &l, sizeof(l));
 }
 
-/* The caller disconnected: reports a delivered request, then frees @c. */
+/* Reports the disconnect to the owner of a delivered request; frees @c. */
 static void
-lose(struct conn *c)
+handle_disconnect(struct conn *c)
 {
 	if (c->state == CONN_ANSWERING && c->req != NULL) {
 		struct mh_hreq *r = c->req;
@@ -176,14 +176,14 @@
 flush_out(struct conn *c)
 {
 	if (!send_out(c)) {
-		lose(c);
+		handle_disconnect(c);
 		return false;
 	}
 	/* The size of a complete response is bounded by its producer, and its
 	 * duration by SEND_TIMEOUT_US. */
 	if (c->state == CONN_ANSWERING && c->out->len > MAX_OUT_BYTES) {
 		mh_count(c->s->k, "serve_slow_callers", 1);
-		lose(c);
+		handle_disconnect(c);
 		return false;
 	}
 	want_io(c);
@@ -391,7 +391,7 @@
 		return true;
 	}
 	if (n <= 0) {
-		lose(c);
+		handle_disconnect(c);
 		return false;
 	}
 	switch (c->state) {
@@ -434,7 +434,7 @@
 	process_input(c);
 	want_io(c);
 	if (c->state == CONN_READING && !c->req->started)
-		lose(c);
+		handle_disconnect(c);
 }
 
 /* Answers 408 unless the rest of the request is in the socket buffer. */
@@ -479,7 +479,7 @@
 		return;
 	case CONN_SENDING:
 		mh_count(c->s->k, "serve_slow_callers", 1);
-		lose(c);
+		handle_disconnect(c);
 		return;
 	case CONN_LINGER:
 		if (has_unacked(c) && mh_now(c->s->k) < c->send_deadline_us) {
--- a/lib/mesh.c
+++ b/lib/mesh.c
@@ -15,7 +15,8 @@
 
 #define HEARTBEAT_US (250 * MH_US_PER_MS)
 /*
- * Three heartbeats and the network delay: a running process sends within this.
+ * Three heartbeats and the network delay: a running process sends a heartbeat
+ * within this time.
  */
 #define SILENT_US (850 * MH_US_PER_MS)
 #define REDIAL_US (500 * MH_US_PER_MS)
@@ -27,14 +28,14 @@
  */
 #define DIAL_TIMEOUT_US (150 * MH_US_PER_MS)
 #define DIAL_DOUBLINGS 4 /* above, the link times out first */
-/* The order skips an entry that has been unreachable for so long. */
+/* The order skips an entry that has been unreachable for this long. */
 #define UNREACHABLE_US (1 * MH_US_PER_S)
 /*
- * After a power loss all processes come back within some tenths of a second,
- * and requests with them. Until a process has received heartbeats of the others
- * it takes itself for the coordinator: twenty of them called the same
- * endpoints, which refused most calls. So a process that has just started sends
- * heartbeats and dials more often.
+ * After a power loss all processes restart within some tenths of a second, and
+ * requests arrive at once. Until a process has received heartbeats of the
+ * others it takes itself for the coordinator: twenty such processes called the
+ * same endpoints, which refused most calls. So a process that has just started
+ * sends heartbeats and dials more often.
  */
 #define STARTUP_US (1500 * MH_US_PER_MS)
 #define STARTUP_HEARTBEAT_US (50 * MH_US_PER_MS)
@@ -280,8 +281,8 @@
 		mh_event(m->k, "peer-leaving", "node=%s", p->node);
 	p->draining = b->leaving;
 	/*
-	 * Other entries may know its start time only through our heartbeat, and
-	 * would go on skipping all entries that have run for less long.
+	 * Other entries may have its start time only from our heartbeat, and
+	 * would go on skipping all entries that have run for less time.
 	 */
 	if (starts_drain && oldest != mh_mesh_oldest_start_us(m))
 		mh_mesh_heartbeat(m, 0);
--- a/lib/meshgossip.c
+++ b/lib/meshgossip.c
@@ -29,8 +29,8 @@
  * An entry whose requests the store refuses drops out of the store's list after
  * some seconds, though it still serves. Entries that read the list earlier
  * still take it for the coordinator; one that restarts reads the list without
- * it and chose another coordinator, which then called the same endpoints for as
- * long as the store refused the first. So an entry that receives work which
+ * it and would choose another coordinator, which calls the same endpoints for
+ * as long as the store refuses the first. So an entry that receives work which
  * another one coordinates announces that coordinator to the sender.
  */
 void
--- a/lib/meshorder.c
+++ b/lib/meshorder.c
@@ -14,10 +14,10 @@
  */
 #define LINKED_FIRST 4
 /*
- * If fewer can serve, as far as is known, at most this many of the order are
- * dialled. While hundreds of entries start together, their start times arrive
- * late and none seems to have run for long enough, so that each entry linked to
- * all.
+ * While fewer are recorded as able to serve, at most this many of the order are
+ * dialled. When hundreds of entries start together, their start times arrive
+ * late and none seems to have run for long enough; without this limit each
+ * entry would link to all.
  */
 #define DIALLED_MAX 12
 /*
--- a/lib/poison.c
+++ b/lib/poison.c
@@ -39,7 +39,7 @@
 #define SOLE_CRASHES 2
 /* Score from which a request is a likely poison request. */
 #define LIKELY_POINTS (2 * POINTS)
-/* Crashes of the pool that no request explains count for so long. */
+/* Crashes of the pool that no request explains count for this long. */
 #define UNEXPLAINED_US (20 * MH_US_PER_S)
 /*
  * One such crash raises the score needed by POINTS; as many as one in
@@ -48,7 +48,7 @@
 #define UNEXPLAINED_POOL_PART 2
 #define POOL_MIN 4
 #define POOL_DEFAULT 8
-/* For so long after a quarantine one crash is enough for the next one. */
+/* For this long after a quarantine one crash is enough for the next one. */
 #define FORGET_US (3600 * MH_US_PER_S)
 #define SWEEP_US (5 * MH_US_PER_S)
 /* Time that an announcement may travel, which the age in it lacks. */
--- a/lib/poisoncrash.c
+++ b/lib/poisoncrash.c
@@ -113,7 +113,7 @@
 		g_array_append_val(ids, id);
 }
 
-/* Announcements of the crashes before may still be in flight. */
+/* Announcements of the earlier crashes may still be in flight. */
 static void
 keep_earlier_ids(struct crash *c, const struct crash *before)
 {
@@ -143,9 +143,9 @@
 /*
  * A crash is announced with its age, as a run is, so an announcement that was
  * in flight for long looks like a later crash.  After the endpoint had proved
- * to be alive, such a duplicate was recorded and announced as a new crash, then
- * disproved and announced again, in turn and endlessly.  The id shows which
- * crash is meant.
+ * to be alive, such a duplicate would be recorded and announced as a new crash,
+ * then disproved and announced again, without end.  The id shows which crash is
+ * meant.
  */
 struct crash *
 mh_poison_record_crash(
@@ -354,9 +354,10 @@
 
 /*
  * The time of a run is announced as its age, which lacks the time in flight: if
- * that is long, the run comes back looking like a later one.  Taken for news,
- * it was forwarded from process to process endlessly, and that load delayed the
- * links further.  The id of a run shows that it is recorded already.
+ * that is long, the run comes back looking like a later one.  Taken for a new
+ * one, it would be forwarded from process to process without end, and that load
+ * would delay the links further.  The id of a run shows that it is recorded
+ * already.
  */
 static bool
 is_recorded(const struct completion *r, uint64_t id)
--- a/lib/poisongossip.c
+++ b/lib/poisongossip.c
@@ -1,9 +1,10 @@
 /**
  * DOC: Gossip between processes about poison requests.
  *
- * News is sent over every link at once, and forwarded by processes that others
- * are linked to alone.  Announcements may arrive twice and in any order:
- * reports of the same crash are merged, and the longest quarantine applies.
+ * New records are sent over every link at once.  A process that others may be
+ * linked to alone forwards them.  Announcements may arrive twice and in any
+ * order: reports of the same crash are merged, and the longest quarantine
+ * applies.
  */
 
 #include "poisonint.h"
@@ -19,9 +20,12 @@
 /** struct message - a Poison message and the memory that it points to. */
 struct message {
 	Mh__Poison m;
-	Mh__Ended ended[FRAME_RECORDS_MAX], *ended_of[FRAME_RECORDS_MAX];
-	Mh__Held held[FRAME_RECORDS_MAX], *held_of[FRAME_RECORDS_MAX];
-	Mh__Ran ran[FRAME_RECORDS_MAX], *ran_of[FRAME_RECORDS_MAX];
+	Mh__Ended crashes[FRAME_RECORDS_MAX];
+	Mh__Ended *crash_list[FRAME_RECORDS_MAX];
+	Mh__Held quarantines[FRAME_RECORDS_MAX];
+	Mh__Held *quarantine_list[FRAME_RECORDS_MAX];
+	Mh__Ran completions[FRAME_RECORDS_MAX];
+	Mh__Ran *completion_list[FRAME_RECORDS_MAX];
 	GPtrArray *lists; /* uint64_t[], the fingerprints of crashes */
 };
 
@@ -52,7 +56,7 @@
 put_crash(struct mh_poison *s, struct message *o, const struct crash *c)
 {
 	size_t i = o->m.n_ended++;
-	Mh__Ended *m = &o->ended[i];
+	Mh__Ended *m = &o->crashes[i];
 
 	mh__ended__init(m);
 	m->endpoint = c->endpoint;
@@ -62,7 +66,7 @@
 	m->end_id = c->ids->len == 0 ? 0 : g_array_index(c->ids, uint64_t, 0);
 	m->fresh = fingerprints_of(o, c, false, &m->n_fresh);
 	m->old = fingerprints_of(o, c, true, &m->n_old);
-	o->ended_of[i] = m;
+	o->crash_list[i] = m;
 }
 
 static void
@@ -70,7 +74,7 @@
     struct mh_poison *s, struct message *o, const struct quarantine *q)
 {
 	size_t i = o->m.n_held++;
-	Mh__Held *m = &o->held[i];
+	Mh__Held *m = &o->quarantines[i];
 
 	mh__held__init(m);
 	m->print = q->fingerprint;
@@ -78,7 +82,7 @@
 	m->times = q->times;
 	m->age_us = age(s, q->start_us);
 	m->left_us = (uint64_t)MAX(q->expires_us - mh_now(s->k), 0);
-	o->held_of[i] = m;
+	o->quarantine_list[i] = m;
 }
 
 static void
@@ -86,14 +90,14 @@
     struct mh_poison *s, struct message *o, const struct completion *r)
 {
 	size_t i = o->m.n_ran++;
-	Mh__Ran *m = &o->ran[i];
+	Mh__Ran *m = &o->completions[i];
 
 	mh__ran__init(m);
 	m->print = r->fingerprint;
 	m->pool = r->pool;
 	m->age_us = age(s, r->at_us);
 	m->run_id = mh_poison_run_id(r);
-	o->ran_of[i] = m;
+	o->completion_list[i] = m;
 }
 
 static struct message *
@@ -102,9 +106,9 @@
 	struct message *o = g_new0(struct message, 1);
 
 	mh__poison__init(&o->m);
-	o->m.ended = o->ended_of;
-	o->m.held = o->held_of;
-	o->m.ran = o->ran_of;
+	o->m.ended = o->crash_list;
+	o->m.held = o->quarantine_list;
+	o->m.ran = o->completion_list;
 	o->lists = g_ptr_array_new_with_free_func(g_free);
 	return o;
 }
@@ -230,11 +234,11 @@
 receive_fingerprints(
     struct crash *c, const uint64_t *fingerprints, size_t n, bool late)
 {
-	bool news = false;
+	bool changed = false;
 
 	for (size_t i = 0; i < n; i++)
-		news |= mh_poison_add_request(c, fingerprints[i], late);
-	return news;
+		changed |= mh_poison_add_request(c, fingerprints[i], late);
+	return changed;
 }
 
 static void
@@ -242,22 +246,22 @@
 {
 	struct crash_report w = { m->endpoint, m->pool, time_of(s, m->age_us),
 		m->end_id, MH_POISON_SAME_CRASH_US };
-	bool is_new, news;
+	bool is_new, changed;
 	struct crash *c = mh_poison_record_crash(s, &w, &is_new);
 
 	if (c == NULL)
 		return;
 	if (is_new)
 		c->settled = c->announced = true;
-	news = receive_fingerprints(c, m->fresh, m->n_fresh, false) | is_new;
-	news |= receive_fingerprints(c, m->old, m->n_old, true);
+	changed = receive_fingerprints(c, m->fresh, m->n_fresh, false) | is_new;
+	changed |= receive_fingerprints(c, m->old, m->n_old, true);
 	if (m->lives && !c->alive) {
-		c->alive = news = true;
+		c->alive = changed = true;
 		s->stale = true;
 		mh_poison_retract_crash(s, c);
 	}
-	/* Never set to true here: our own news may be waiting to be sent. */
-	if (news && pass_on)
+	/* Never set to true here: our own report may be waiting to be sent. */
+	if (changed && pass_on)
 		c->announced = false;
 }
 
@@ -267,7 +271,7 @@
 	struct quarantine *q = g_hash_table_lookup(s->quarantines, &m->print);
 	int64_t expires_us = mh_now(s->k) +
 	    (int64_t)MIN(m->left_us, (uint64_t)MH_POISON_QUARANTINE_MAX_US);
-	bool news = q == NULL || m->times > q->times;
+	bool changed = q == NULL || m->times > q->times;
 
 	if (mh_poison_was_released(s, m->print, time_of(s, m->age_us)))
 		return;
@@ -275,7 +279,7 @@
 	if (q == NULL)
 		return;
 	s->stale = true;
-	if (news) {
+	if (changed) {
 		q->start_us = time_of(s, m->age_us);
 		q->announced = !pass_on;
 	}
--- a/lib/poisonint.h
+++ b/lib/poisonint.h
@@ -8,7 +8,7 @@
 /* All calls that break in one crash of an endpoint break within this. */
 #define MH_POISON_SAME_CRASH_US (2 * MH_US_PER_S)
 
-/* A crash counts for so long: callers may retry at long intervals. */
+/* A crash counts for this long: callers may retry at long intervals. */
 #define MH_POISON_KEEP_US (180 * MH_US_PER_S)
 /* Times less than this apart, as received, are taken for the same event. */
 #define MH_POISON_SAME_RUN_US (1 * MH_US_PER_S)
--- a/lib/poisonmesh.c
+++ b/lib/poisonmesh.c
@@ -1,8 +1,8 @@
 /**
  * DOC: Service "poison" among the entries of a mesh.
  *
- * An entry announces its observations over its links, and the entries that
- * others may be linked to alone forward them.  A newly linked entry, such as
+ * An entry announces its observations over its links.  Entries that others
+ * may be linked to alone forward them.  A newly linked entry, such as
  * one that has restarted, is sent the whole state.
  */
 
--- a/lib/sched.c
+++ b/lib/sched.c
@@ -296,8 +296,8 @@
 /*
  * Hands off each draining job once none of its pieces is in a call.  If started
  * jobs stayed here until they are done, the calls of this process and those of
- * the next coordinator would queue behind each other for seconds, and inputs
- * would be freed before they are read.
+ * the next coordinator would delay each other at the endpoints for seconds, and
+ * inputs would be freed before they are read.
  */
 static void
 hand_off_draining(struct mh_sched *sc)
