--- a/lib/meshorder.c
+++ b/lib/meshorder.c
@@ -314,7 +314,7 @@
 	return known > 0 && before < LINKED_FIRST;
 }
 
-/* Whether it can coordinate our work, or may as far as we know. */
+/* Whether it can coordinate our work; an unlinked member is assumed to. */
 static bool
 may_coordinate(const struct peer *p, int64_t latest)
 {
