--- a/lib/conf.c
+++ b/lib/conf.c
@@ -37,7 +37,7 @@
 	bool fetching; /* that call fetches a document */
 	json_t *head; /* the head whose document is being fetched */
 	int64_t kv_next_us; /* no KV call before this */
-	int64_t kv_started_us; /* when the last KV call was made */
+	int64_t kv_started_us; /* start of the last KV call */
 	int64_t requested_us; /* last request to a peer; 0: none in flight */
 	struct mh_timer *tick;
 };
--- a/lib/link.c
+++ b/lib/link.c
@@ -128,7 +128,7 @@
 	return true;
 }
 
-/* Runs before each wait: frames queued in one loop turn leave in one write. */
+/* Runs before each wait, to write all frames of one iteration at once. */
 static int64_t
 flush_all(void *arg)
 {
--- a/lib/member.c
+++ b/lib/member.c
@@ -442,7 +442,7 @@
 
 /* Applies the choice of the subset: opens or closes the link to @p. */
 static void
-want(void *arg, struct mh_peer *p, bool wanted)
+set_wanted(void *arg, struct mh_peer *p, bool wanted)
 {
 	struct member *mb = arg;
 
@@ -531,7 +531,7 @@
 		return;
 	g_hash_table_iter_init(&it, mb->pools);
 	while (g_hash_table_iter_next(&it, NULL, &pool))
-		mh_subset_choose(&args, pool, want, mb);
+		mh_subset_choose(&args, pool, set_wanted, mb);
 }
 
 uint32_t
--- a/lib/pipe.c
+++ b/lib/pipe.c
@@ -177,7 +177,7 @@
 
 /* No further call is possible: fail now, not at the deadline. */
 static void
-give_up(struct request *r, const char *detail, int64_t retry_us)
+fail_now(struct request *r, const char *detail, int64_t retry_us)
 {
 	struct problem p = { .status = 503,
 		.kind = "overloaded",
@@ -221,7 +221,7 @@
 	if (stage_of(r)->at_most_once && running_tries(r) > 0)
 		return;
 	if (r->outcome_unknown) {
-		give_up(r, p.detail, 0);
+		fail_now(r, p.detail, 0);
 		return;
 	}
 	p.retry_us = mh_poison_quarantine_us(r->e->k, r->fingerprint);
@@ -416,7 +416,7 @@
 		next_try(r, false);
 		return;
 	}
-	give_up(r,
+	fail_now(r,
 	    not_run ? "Every endpoint asked is full."
 		    : "The stage failed at every endpoint asked.",
 	    (int64_t)res->retry_us);
@@ -721,7 +721,7 @@
 	}
 	if (p == NULL) {
 		if (!hedge)
-			give_up(
+			fail_now(
 			    r, "No endpoint of the pool can be reached.", 0);
 		return;
 	}
--- a/lib/relay.c
+++ b/lib/relay.c
@@ -206,7 +206,7 @@
 }
 
 static void
-lose(struct relay *r, struct mh_call *c, Mh__Outcome outcome)
+fail_lost(struct relay *r, struct mh_call *c, Mh__Outcome outcome)
 {
 	Mh__Result res = MH__RESULT__INIT;
 
@@ -280,7 +280,7 @@
 	if (c->next_seq > 0) {
 		mh_count(r->k, "relay_gone", 1);
 		send_control(r, c, MH__FRAME__BODY_CANCEL);
-		lose(r, c, MH__OUTCOME__FAILED);
+		fail_lost(r, c, MH__OUTCOME__FAILED);
 		return;
 	}
 	mh_count(r->k, "relay_resent", 1);
@@ -340,9 +340,9 @@
 
 	if (ev == MH_LINK_FAILED) {
 		if (!c->a.at_most_once)
-			lose(r, c, MH__OUTCOME__FAILED);
+			fail_lost(r, c, MH__OUTCOME__FAILED);
 	} else if (restarted) {
-		lose(r, c,
+		fail_lost(r, c,
 		    c->a.at_most_once ? MH__OUTCOME__UNKNOWN
 				      : MH__OUTCOME__FAILED);
 	} else {
--- a/lib/roster.c
+++ b/lib/roster.c
@@ -256,7 +256,7 @@
 
 /* Ranks the listed VMs that match the role, pool and domain of @c. */
 static void
-hold(struct roster *r, struct ranking *c)
+rank_vms(struct roster *r, struct ranking *c)
 {
 	GHashTableIter it;
 	gpointer value;
@@ -280,7 +280,7 @@
 {
 	struct ranking c = { .key = "", .role = "entry" };
 
-	hold(get(k), &c);
+	rank_vms(get(k), &c);
 	return MAX(c.count, 1);
 }
 
@@ -292,7 +292,7 @@
 		.role = "entry",
 		.own_weight = mh_rendezvous(key, r->vm) };
 
-	hold(r, &c);
+	rank_vms(r, &c);
 	*entries = MAX(c.count, 1);
 	return r->read_us < 0 ? UINT32_MAX : c.n_before; /* no list yet */
 }
@@ -302,7 +302,7 @@
 {
 	struct ranking c = { .key = key, .role = "entry" };
 
-	hold(get(k), &c);
+	rank_vms(get(k), &c);
 	return c.best;
 }
 
@@ -311,7 +311,7 @@
 {
 	struct ranking c = { .key = key, .role = "side", .pool = pool };
 
-	hold(get(k), &c);
+	rank_vms(get(k), &c);
 	return c.best;
 }
 
@@ -337,7 +337,7 @@
 		return true;
 	if (!r->entry)
 		return mh_member_link_count(k) == 0;
-	hold(r, &c);
+	rank_vms(r, &c);
 	return same_id(c.best, r->vm) || same_id(c.second, r->vm) ||
 	    c.count < WATCHERS;
 }
@@ -369,7 +369,7 @@
 		mh_member_foreach(r->k, find_linked_entry, &found);
 		return found;
 	}
-	hold(r, &c);
+	rank_vms(r, &c);
 	names[0] = c.best;
 	names[1] = c.second;
 	for (int i = 0; i < WATCHERS; i++) {
@@ -387,7 +387,7 @@
 
 /* Reads the list from the platform or polls a peer, at most once a second. */
 static void
-ask(struct roster *r)
+refresh_list(struct roster *r)
 {
 	int64_t now = mh_now(r->k);
 	bool stale = r->read_us < 0 || now - r->read_us > STALE_US;
@@ -418,7 +418,7 @@
 	struct roster *r = arg;
 
 	r->tick = mh_timer_start(r->k, TICK_US, on_tick, r);
-	ask(r);
+	refresh_list(r);
 }
 
 static bool
