--- a/lib/claim.c
+++ b/lib/claim.c
@@ -128,10 +128,10 @@
  * True if we acknowledged a handover and do not own the partition yet: the old
  * owner is about to enter us in the table.  If we exited before reading that,
  * the rows would be lost.  The wait is limited because, if our acknowledgement
- * was lost, the old owner cancels the handover without telling us.
+ * was lost, the old owner cancels the handover without notifying us.
  */
 static bool
-incoming(const struct claim *c, uint32_t p)
+is_incoming(const struct claim *c, uint32_t p)
 {
 	return c->part[p].recv_epoch > mh_owners_part(c->owners, p)->epoch &&
 	    mh_now(c->k) - c->part[p].received_us < INCOMING_TIMEOUT_US;
@@ -144,7 +144,8 @@
 	uint32_t n = 0;
 
 	for (uint32_t p = 0; p < MH_PARTITIONS; p++)
-		n += is_own(c, mh_owners_part(c->owners, p)) || incoming(c, p);
+		n += is_own(c, mh_owners_part(c->owners, p)) ||
+		    is_incoming(c, p);
 	return n;
 }
 
--- a/lib/conf.c
+++ b/lib/conf.c
@@ -86,7 +86,7 @@
 }
 
 static GBytes *
-kept_doc(struct conf *c, uint64_t generation)
+find_doc(struct conf *c, uint64_t generation)
 {
 	for (GList *l = c->kept.head; l != NULL; l = l->next) {
 		struct kept *n = l->data;
@@ -268,7 +268,7 @@
 
 	if (!json_is_string(middle) || hash == NULL)
 		return NULL;
-	base = kept_doc(c, head_u64(head, "base"));
+	base = find_doc(c, head_u64(head, "base"));
 	if (base == NULL)
 		return NULL;
 	return patch(base, (uint32_t)head_u64(head, "prefix"),
@@ -420,7 +420,7 @@
 	data = g_bytes_get_data(c->decl->doc, &len);
 	conf.generation = c->decl->generation;
 	conf.hash = mh_hash(data, len);
-	old = kept_doc(c, in->config_ask->have);
+	old = find_doc(c, in->config_ask->have);
 	if (old != NULL) {
 		conf.base_generation = in->config_ask->have;
 		common_affixes(old, c->decl->doc, &conf.prefix, &conf.suffix);
@@ -444,7 +444,7 @@
 	if (n->generation <= mh_conf_generation(c->k))
 		return;
 	empty = g_bytes_new(NULL, 0);
-	old = n->base_generation == 0 ? empty : kept_doc(c, n->base_generation);
+	old = n->base_generation == 0 ? empty : find_doc(c, n->base_generation);
 	doc = old == NULL ? NULL
 			  : patch(old, n->prefix, n->suffix, n->doc.data,
 				n->doc.len, n->hash);
--- a/lib/daemon.c
+++ b/lib/daemon.c
@@ -78,7 +78,7 @@
 #define NSETTINGS (sizeof(settings) / sizeof(settings[0]))
 
 static G_GNUC_NORETURN void
-bad(const char *program, const char *fmt, ...)
+die(const char *program, const char *fmt, ...)
 {
 	va_list ap;
 
@@ -109,7 +109,7 @@
 		return;
 	}
 	if (!g_ascii_string_to_unsigned(v, 10, t->min, t->max, &n, NULL))
-		bad(program, "--%s \"%s\" is invalid: give %s", t->flag, v,
+		die(program, "--%s \"%s\" is invalid: give %s", t->flag, v,
 		    t->help_text);
 	*(int *)at = (int)n;
 }
@@ -142,19 +142,19 @@
 			continue;
 		v = *(char *const *)(const void *)((const char *)s + t->offset);
 		if (v == NULL && t->required)
-			bad(program, "--%s or %s is missing: give %s", t->flag,
+			die(program, "--%s or %s is missing: give %s", t->flag,
 			    t->env, t->help_text);
 		if (v != NULL && g_str_has_prefix(t->help_text, "IP:PORT") &&
 		    !is_addr(v))
-			bad(program, "--%s \"%s\" is not IP:PORT: give %s",
+			die(program, "--%s \"%s\" is not IP:PORT: give %s",
 			    t->flag, v, t->help_text);
 		if (v != NULL && g_str_has_prefix(t->help_text, "URL") &&
 		    !is_url(v))
-			bad(program, "--%s \"%s\" is not an HTTP URL: give %s",
+			die(program, "--%s \"%s\" is not an HTTP URL: give %s",
 			    t->flag, v, t->help_text);
 	}
 	if ((s->cert_file == NULL) != (s->key_file == NULL))
-		bad(program,
+		die(program,
 		    "--cert-file and --key-file must be used together: "
 		    "give both or neither");
 }
--- a/lib/link.c
+++ b/lib/link.c
@@ -397,7 +397,7 @@
 }
 
 static void
-on_late(void *arg)
+on_handshake_timeout(void *arg)
 {
 	struct conn *c = arg;
 
@@ -422,7 +422,8 @@
 	apr_socket_opt_set(sock, APR_SO_NONBLOCK, 1);
 	apr_socket_timeout_set(sock, 0);
 	apr_socket_opt_set(sock, APR_TCP_NODELAY, 1);
-	c->timer = mh_timer_start(l->k, HANDSHAKE_TIMEOUT_US, on_late, c);
+	c->timer =
+	    mh_timer_start(l->k, HANDSHAKE_TIMEOUT_US, on_handshake_timeout, c);
 	g_hash_table_insert(l->conns, &c->id, c);
 	return c;
 }
--- a/lib/queue.c
+++ b/lib/queue.c
@@ -121,7 +121,7 @@
 }
 
 static bool
-worse(const struct mh_item *a, const struct mh_item *b)
+is_worse(const struct mh_item *a, const struct mh_item *b)
 {
 	if (a->priority != b->priority)
 		return a->priority > b->priority;
@@ -142,7 +142,7 @@
 	if (q->queueing == MH_QUEUE_FIFO)
 		return it;
 	for (guint i = 0; i < q->items->len; i++) {
-		if (worse(q->items->pdata[i], worst))
+		if (is_worse(q->items->pdata[i], worst))
 			worst = q->items->pdata[i];
 	}
 	/* Only an item of a less urgent class is evicted. */
--- a/lib/route.c
+++ b/lib/route.c
@@ -42,7 +42,7 @@
 
 /* Estimate of the calls at the endpoint. */
 static double
-busy(struct mh_kern *k, const struct mh_peer *p)
+active_calls(struct mh_kern *k, const struct mh_peer *p)
 {
 	double reported = (double)p->load_running + (double)p->load_queued;
 	double since = (double)p->own_calls - (double)p->load_own_calls;
@@ -56,7 +56,7 @@
 static double
 fill(struct mh_kern *k, const struct mh_peer *p)
 {
-	return busy(k, p) / (double)MAX(p->load_slots, 1U);
+	return active_calls(k, p) / (double)MAX(p->load_slots, 1U);
 }
 
 static double
@@ -158,7 +158,8 @@
 		struct mh_peer *p = c->pdata[i];
 		uint64_t w = mh_rendezvous(text, p->vm);
 
-		if (busy(r->k, p) > busy_max || (best != NULL && w <= weight))
+		if (active_calls(r->k, p) > busy_max ||
+		    (best != NULL && w <= weight))
 			continue;
 		best = p;
 		weight = w;
@@ -178,7 +179,7 @@
 	double sum = 0;
 
 	for (guint i = 0; i < c->len; i++)
-		sum += busy(r->k, c->pdata[i]);
+		sum += active_calls(r->k, c->pdata[i]);
 	return by_rendezvous(r, q->affinity, c,
 	    AFFINITY_BOUND * sum / (double)c->len + AFFINITY_SLACK);
 }
--- a/lib/side.c
+++ b/lib/side.c
@@ -239,7 +239,7 @@
 
 /* The calls of a crashed entry are dropped: nobody will request them. */
 static bool
-orphaned(struct side *s, struct call *c)
+is_orphaned(struct side *s, struct call *c)
 {
 	if (mh_member_conn(s->k, c->conn) != NULL) {
 		c->orphan_since_us = 0;
@@ -262,7 +262,7 @@
 		struct call *c = v;
 		bool keep = mh_now(s->k) < c->item.deadline_us + RESULT_KEEP_US;
 
-		if (c->state == ST_ENDED ? !keep : orphaned(s, c))
+		if (c->state == ST_ENDED ? !keep : is_orphaned(s, c))
 			g_ptr_array_add(expired, c);
 	}
 	for (guint i = 0; i < expired->len; i++)
