--- a/bench/demo.sh
+++ b/bench/demo.sh
@@ -13,7 +13,7 @@
 
 say() { printf '\n== %s\n' "$1"; }
 
-check() { # WHAT WORD: the last answer must hold the word
+check() { # WHAT WORD: the last answer must contain the word
 	if grep -q "$2" "$DIR/answer"; then
 		echo "   right: $1"
 	else
@@ -31,7 +31,7 @@
 	    "$DIR/answer" | cut -c1-160 | tail -1
 }
 
-ask() { # ENTRY KEY PATH BODY [HEADER]
+request() { # ENTRY KEY PATH BODY [HEADER]
 	curl -s -m 10 -N -H "Authorization: Bearer $2" -H "${5:-X-None: 1}" \
 	    -d "$4" "$1$3" >"$DIR/answer"
 }
@@ -44,7 +44,7 @@
 
 say "a party plan, streamed through encode, retrieve, rerank, generate"
 REF=00112233445566aa
-ask "$E1" party-key /v1/pipelines/party-plan \
+request "$E1" party-key /v1/pipelines/party-plan \
     "{\"input\":\"ref:$REF clowns for ten\",\"context\":\"packages and themes\",\"max_tokens\":6,\"stream\":true}"
 show
 check "six tokens came one by one" '"text":" w5.'"$REF"
@@ -52,18 +52,18 @@
 
 say "a booking confirmation, asked twice with one key"
 BODY='{"body":{"order":"ref:aabbccddeeff0011"}}'
-ask "$E1" party-key /v1/pipelines/confirm-booking "$BODY" \
+request "$E1" party-key /v1/pipelines/confirm-booking "$BODY" \
     "Idempotency-Key: booking-17"
 show
 check "confirmed" '"confirmed":true'
-ask "$E2" party-key /v1/pipelines/confirm-booking "$BODY" \
+request "$E2" party-key /v1/pipelines/confirm-booking "$BODY" \
     "Idempotency-Key: booking-17"
 check "the repeat got the stored answer" '"confirmed":true'
 curl -s -m 5 "$DP_PLATFORM/ctl/audit" >"$DIR/answer"
 check "it ran once" '"confetti/booking-17":1[,}]'
 
 say "a dispatch order, and its outcome looked up at the other entry"
-ask "$E2" volt-key /v1/pipelines/dispatch-order \
+request "$E2" volt-key /v1/pipelines/dispatch-order \
     '{"body":{"order":"ref:0123456789abcdef"}}' "Idempotency-Key: event-5"
 show
 check "dispatched" '"confirmed":true'
@@ -72,9 +72,9 @@
 check "outcome done" '"outcome":"done"'
 
 say "what is refused"
-ask "$E1" stolen-key /v1/pipelines/party-plan '{"input":"x"}'
+request "$E1" stolen-key /v1/pipelines/party-plan '{"input":"x"}'
 check "a wrong key" '"status":401'
-ask "$E1" party-key /v1/pipelines/party-plan '{"input":"x","max_tokens":128}' \
+request "$E1" party-key /v1/pipelines/party-plan '{"input":"x","max_tokens":128}' \
     "Marl-Deadline-Ms: 200"
 check "what cannot end in time, at once" '"outcome":"not-run"'
 
@@ -109,7 +109,7 @@
 "$DP_BIN/marlctl.bin" --kv "$DP_PLATFORM" evacuate a
 sleep 1
 for _ in 1 2 3 4; do
-	ask "$E1" party-key /v1/pipelines/party-plan \
+	request "$E1" party-key /v1/pipelines/party-plan \
 	    "{\"input\":\"ref:$REF\",\"max_tokens\":2}"
 	check "whole from the other domains" "w0.$REF w1.$REF"
 	if grep -q '"vm":"[a-z]*-0"' "$DIR/answer"; then
--- a/marlctl/ask.c
+++ b/marlctl/ask.c
@@ -61,7 +61,7 @@
 }
 
 static void
-on_late(void *arg)
+on_timeout(void *arg)
 {
 	struct frame_request *a = arg;
 
@@ -94,7 +94,7 @@
 	mh_kern_add(a.k, "hub", &a, handle, NULL);
 	a.conn = mh_next_id(a.k);
 	mh_link_dial(a.k, a.conn, addr);
-	mh_timer_start(a.k, RESPONSE_TIMEOUT_US, on_late, &a);
+	mh_timer_start(a.k, RESPONSE_TIMEOUT_US, on_timeout, &a);
 	mh_loop_run(a.loop);
 	mh_kern_destroy(a.k);
 	mh_loop_destroy(a.loop);
--- a/marlload/verify.c
+++ b/marlload/verify.c
@@ -11,13 +11,13 @@
 static bool
 is_complete_text(const struct load_request *s, const char *text)
 {
-	GString *want = g_string_new(NULL);
+	GString *expected = g_string_new(NULL);
 	bool same;
 
 	for (uint32_t i = 0; i < s->tokens; i++)
-		g_string_append_printf(want, " w%u.%s", i, s->ref);
-	same = strcmp(want->str, text) == 0;
-	g_string_free(want, TRUE);
+		g_string_append_printf(expected, " w%u.%s", i, s->ref);
+	same = strcmp(expected->str, text) == 0;
+	g_string_free(expected, TRUE);
 	return same;
 }
 
--- a/marlwork/run.c
+++ b/marlwork/run.c
@@ -102,7 +102,7 @@
 }
 
 static void
-lose(struct run *r, double t)
+set_answer_loss(struct run *r, double t)
 {
 	for (guint i = 0; r->l->losses != NULL && i < r->l->losses->len; i++) {
 		const struct wloss *s = g_ptr_array_index(r->l->losses, i);
@@ -181,7 +181,7 @@
 		double t = (double)at / MH_US_PER_S;
 		double times = burst_factor(r->l, t) * r->scale;
 
-		lose(r, t);
+		set_answer_loss(r, t);
 		for (guint i = 0; i < r->l->kinds->len; i++) {
 			const struct wkind *k =
 			    g_ptr_array_index(r->l->kinds, i);
--- a/model/once.pml
+++ b/model/once.pml
@@ -1,20 +1,20 @@
 /*
  * The at-most-once protocol of one partition and one key: two side
  * processes, the owners' value in the KV service, calls that are delayed
- * and sent again, refusals, a caller that asks again, restarts, hand-over
- * (taken back, repeated, delayed) and takeover of a VM that is gone.
+ * and sent again, refusals, a caller that retries, restarts, handover
+ * (withdrawn, repeated, delayed) and takeover from a VM that was removed.
  *
- * Three claims: the key runs at most once; a request that was told "not run"
- * never runs; and where the owner says so of the key, none of its requests
- * has run.  Each -D below takes one guard out of the protocol; the checker must
- * then find a failure.
+ * Three claims: the key runs at most once; a request that was answered "not
+ * run" never runs; and where the owner answers so for the key, none of its
+ * requests has run.  Each -D below removes one guard from the protocol; the
+ * checker must then find a failure.
  *
  *   NO_BOUND      a restarted or taking-over owner runs keys of any time
  *   NO_FREEZE     the owner goes on starting calls while it hands over
- *   NO_SERIAL     an acknowledgement of an earlier hand-over counts
- *   LEASE         an owner that is still listed is taken over
+ *   NO_SERIAL     an acknowledgement of an earlier handover counts
+ *   LEASE         a VM takes over from an owner that is still listed
  *   NO_MARK       a refused request is forgotten with its call
- *   NO_PROOF      "not run" is said of the key by whoever refuses a request
+ *   NO_PROOF      whoever refuses a request answers "not run" for its key
  */
 
 #define OTHER(v) (1 - (v))
@@ -28,17 +28,17 @@
 #define REFUSED 2		/* of a call's own record only */
 
 byte kv_owner = 0, kv_inc = 1, kv_epoch = 1;
-bool born = false;		/* the key was made: its stamp is in the past */
-bool kv_bounded = false;	/* the key is stamped before the bound */
+bool created = false;		/* the key's timestamp is in the past */
+bool kv_bounded = false;	/* the key's timestamp is before the bound */
 
 byte inc[2] = { 1, 1 };
 byte epoch[2] = { 1, 0 };	/* confirmed as owner in this epoch, 0: not */
 bool bounded[2];		/* the ledger's bound lies after the key */
-bool row[2];			/* the ledger knows the key as started */
+bool row[2];			/* the ledger records the key as started */
 byte mark[2];			/* requests up to this one never run here */
 bool frozen[2];
-bool gone[2];			/* the VM left the list and its process died */
-byte serial[2];			/* of the hand-over last sent */
+bool removed[2];		/* the VM left the list and its process died */
+byte serial[2];			/* of the handover last sent */
 byte acked[2];			/* the target's incarnation, 0: none */
 byte got_epoch[2], got_serial[2];
 bool got_row[2];
@@ -47,7 +47,7 @@
 #ifdef LEASE
 byte takeovers;
 #endif
-bool ran1, ran2, told1, told2;
+bool ran1, ran2, refused1, refused2;
 
 /* side, its incarnation, epoch, request */
 chan calls = [REQUESTS * COPIES] of { byte, byte, byte, byte };
@@ -63,20 +63,21 @@
 	fi
 }
 
-/* Only the owner whose ledger covers the key's whole life knows of it. */
+/* Only an owner whose ledger covers the key's whole lifetime can prove this. */
 #ifdef NO_PROOF
-#define KNOWS(v) true
+#define PROVES_NOT_RUN(v) true
 #else
-#define KNOWS(v) (epoch[v] != 0 && !frozen[v] && !row[v] && !bounded[v])
+#define PROVES_NOT_RUN(v) \
+	(epoch[v] != 0 && !frozen[v] && !row[v] && !bounded[v])
 #endif
 
-inline tell(v, q)
+inline refuse(v, q)
 {
-	assert(!KNOWS(v) || runs == 0);
+	assert(!PROVES_NOT_RUN(v) || runs == 0);
 	set_rec(v, q, REFUSED);
 	if
-	:: q == 1 -> told1 = true
-	:: else -> told2 = true
+	:: q == 1 -> refused1 = true
+	:: else -> refused2 = true
 	fi
 }
 
@@ -97,7 +98,7 @@
 		skip			/* the same call again */
 	:: else ->
 		if
-		:: q <= mark[v] -> tell(v, q)
+		:: q <= mark[v] -> refuse(v, q)
 		:: q > mark[v] && epoch[v] != 0 && e == epoch[v] &&
 			!frozen[v] ->
 			if
@@ -111,7 +112,7 @@
 #endif
 			fi
 		:: else ->
-			tell(v, q);
+			refuse(v, q);
 #ifndef NO_MARK
 			mark[v] = q
 #endif
@@ -130,16 +131,16 @@
 	bool r;
 
 end:	do
-	:: atomic { !gone[v] && calls??[eval(v), eval(inc[v]), e, q] ->
+	:: atomic { !removed[v] && calls??[eval(v), eval(inc[v]), e, q] ->
 		calls??eval(v), eval(inc[v]), e, q; take_call(v, e, q);
 		e = 0; q = 0 }
 
-	/* The refusal was acknowledged: the call's record goes. */
+	/* The refusal was acknowledged: delete the call's record. */
 	:: atomic { rec1[v] == REFUSED -> rec1[v] = NONE }
 	:: atomic { rec2[v] == REFUSED -> rec2[v] = NONE }
 
 	/* The table names this incarnation: open the ledger by it. */
-	:: atomic { !gone[v] && kv_owner == v && kv_inc == inc[v] &&
+	:: atomic { !removed[v] && kv_owner == v && kv_inc == inc[v] &&
 		epoch[v] != kv_epoch ->
 		if
 		:: got_epoch[v] == kv_epoch ->
@@ -150,22 +151,22 @@
 		epoch[v] = kv_epoch;
 		frozen[v] = false; acked[v] = 0 }
 
-	/* The table names somebody else. */
-	:: atomic { !gone[v] && epoch[v] != 0 &&
+	/* The table names another owner. */
+	:: atomic { !removed[v] && epoch[v] != 0 &&
 		!(kv_owner == v && kv_inc == inc[v]) ->
 		epoch[v] = 0; forget(v) }
 
-	/* Restart: the memory is gone; reclaim with a bound. */
-	:: atomic { !gone[v] && restarts < RESTARTS ->
+	/* Restart: the memory is lost; reclaim with a bound. */
+	:: atomic { !removed[v] && restarts < RESTARTS ->
 		restarts++; inc[v]++; epoch[v] = 0; forget(v);
 		rec1[v] = NONE; rec2[v] = NONE; mark[v] = 0;
 		serial[v] = serial[v] + 4;
 		got_epoch[v] = 0; got_serial[v] = 0; got_row[v] = false }
-	:: atomic { !gone[v] && kv_owner == v && kv_inc != inc[v] ->
-		kv_inc = inc[v]; kv_epoch++; kv_bounded = kv_bounded || born }
+	:: atomic { !removed[v] && kv_owner == v && kv_inc != inc[v] ->
+		kv_inc = inc[v]; kv_epoch++; kv_bounded = kv_bounded || created }
 
-	/* Hand-over: freeze, send the rows, wait for the word, write. */
-	:: atomic { !gone[v] && epoch[v] != 0 && !frozen[v] &&
+	/* Handover: freeze, send the rows, await the acknowledgement, write. */
+	:: atomic { !removed[v] && epoch[v] != 0 && !frozen[v] &&
 		handovers < HANDOVERS ->
 		handovers++;
 #ifndef NO_FREEZE
@@ -173,9 +174,9 @@
 #endif
 		serial[v]++;
 		hands!OTHER(v), epoch[v] + 1, serial[v], row[v] }
-	:: atomic { !gone[v] && frozen[v] && acked[v] == 0 ->
-		frozen[v] = false }	/* taken back */
-	:: atomic { !gone[v] && acks??[eval(v), s, i] ->
+	:: atomic { !removed[v] && frozen[v] && acked[v] == 0 ->
+		frozen[v] = false }	/* withdrawn */
+	:: atomic { !removed[v] && acks??[eval(v), s, i] ->
 		acks??eval(v), s, i;
 		if
 #ifdef NO_SERIAL
@@ -190,11 +191,11 @@
 		:: else -> skip
 		fi;
 		s = 0; i = 0 }
-	:: atomic { !gone[v] && acked[v] != 0 && epoch[v] == kv_epoch &&
+	:: atomic { !removed[v] && acked[v] != 0 && epoch[v] == kv_epoch &&
 		kv_owner == v ->
 		kv_owner = OTHER(v); kv_inc = acked[v]; kv_epoch++;
 		kv_bounded = bounded[v] }
-	:: atomic { !gone[v] && hands??[eval(v), e, s, r] ->
+	:: atomic { !removed[v] && hands??[eval(v), e, s, r] ->
 		hands??eval(v), e, s, r;
 		if
 		:: epoch[v] == 0 && (e > got_epoch[v] ||
@@ -206,17 +207,17 @@
 		fi;
 		e = 0; s = 0; r = false }
 
-	/* The VM is gone; the other takes over with a bound. */
-	:: atomic { !gone[v] && !gone[OTHER(v)] && restarts == 0 ->
-		gone[v] = true; rec1[v] = NONE; rec2[v] = NONE }
+	/* The VM is removed; the other takes over with a bound. */
+	:: atomic { !removed[v] && !removed[OTHER(v)] && restarts == 0 ->
+		removed[v] = true; rec1[v] = NONE; rec2[v] = NONE }
 #ifdef LEASE
-	:: atomic { !gone[v] && kv_owner == OTHER(v) && takeovers == 0 ->
+	:: atomic { !removed[v] && kv_owner == OTHER(v) && takeovers == 0 ->
 		takeovers++;
 #else
-	:: atomic { !gone[v] && gone[OTHER(v)] && kv_owner == OTHER(v) ->
+	:: atomic { !removed[v] && removed[OTHER(v)] && kv_owner == OTHER(v) ->
 #endif
 		kv_owner = v; kv_inc = inc[v]; kv_epoch++;
-		kv_bounded = kv_bounded || born }
+		kv_bounded = kv_bounded || created }
 	od
 }
 
@@ -227,12 +228,12 @@
 
 	/* The entry's table may be older than the key. */
 	atomic { to = kv_owner; i = kv_inc; e = kv_epoch };
-	born = true;
+	created = true;
 	do
 	:: atomic { n < COPIES -> n++; calls!to, i, e, 1 }
 	:: n > 0 -> break
 	od;
-	/* Told anything or nothing, the caller asks again. */
+	/* The caller retries, whether or not it got an answer. */
 	atomic { n = 0; to = kv_owner; i = kv_inc; e = kv_epoch }
 end:	do
 	:: atomic { n < COPIES -> n++; calls!to, i, e, 2 }
@@ -243,6 +244,6 @@
 {
 	atomic { run side(0); run side(1); run entry() };
 end:	do
-	:: assert(runs <= 1 && !(ran1 && told1) && !(ran2 && told2))
+	:: assert(runs <= 1 && !(ran1 && refused1) && !(ran2 && refused2))
 	od
 }
--- a/model/run.sh
+++ b/model/run.sh
@@ -1,4 +1,4 @@
-# Checks the model, and that every guard taken out is caught.
+# Checks the model, and that the checker detects the removal of each guard.
 set -eu
 cd "$(dirname "$0")"
 out=$(mktemp -d)
--- a/regress/gaterig.h
+++ b/regress/gaterig.h
@@ -8,7 +8,7 @@
 #define MS MH_US_PER_MS
 #define S MH_US_PER_S
 
-/** struct grig - a gateway, and what it asked its adapter to do. */
+/** struct grig - a gateway, and the calls that its adapter received. */
 struct grig {
 	struct mh_kern *k;
 	struct mh_fleet *f;
--- a/regress/t_coordinator.c
+++ b/regress/t_coordinator.c
@@ -410,7 +410,7 @@
 }
 
 /*
- * For seconds two entries take themselves for the coordinator of the same
+ * For seconds two entries both act as the coordinator of the same
  * endpoints. A call of one waits behind the other's. Its inputs must not be
  * freed as if it ran at once; they were computed again with all that had led to
  * them.
@@ -683,7 +683,7 @@
 
 /*
  * Stage work of a poison request is at its coordinator, or on its way to the
- * next one. Every coordinator must know the fingerprint of the request, and the
+ * next one. Every coordinator must have the fingerprint of the request, and the
  * requester must get the reason why the job ends.
  */
 static void
--- a/regress/t_decl.c
+++ b/regress/t_decl.c
@@ -116,24 +116,24 @@
 {
 	GError *err = NULL;
 	struct mh_decl *d = read_text(net_doc, &err);
-	struct mh_rule_input ask = { .org = "acme", .pipeline = "confirm" };
+	struct mh_rule_input in = { .org = "acme", .pipeline = "confirm" };
 	struct mh_decision out;
 	char *why;
 
 	CU_ASSERT_PTR_NOT_NULL_FATAL(d);
-	mh_rules_decide(d, &ask, &out);
+	mh_rules_decide(d, &in, &out);
 	CU_ASSERT_STRING_EQUAL(out.rule->name, "first");
 	CU_ASSERT_EQUAL(out.deadline_us, 2000 * MH_US_PER_MS);
-	ask.class_name = "batch";
-	mh_rules_decide(d, &ask, &out);
+	in.class_name = "batch";
+	mh_rules_decide(d, &in, &out);
 	CU_ASSERT_STRING_EQUAL(out.rule->name, "closed");
 	CU_ASSERT_PTR_NOT_NULL(out.refuse);
-	ask.pipeline = "plan";
-	ask.deadline_us = 50 * MH_US_PER_S;
-	mh_rules_decide(d, &ask, &out);
+	in.pipeline = "plan";
+	in.deadline_us = 50 * MH_US_PER_S;
+	mh_rules_decide(d, &in, &out);
 	CU_ASSERT_STRING_EQUAL(out.rule->name, "waits");
 	CU_ASSERT_EQUAL(out.deadline_us, 10 * MH_US_PER_S);
-	why = mh_rules_explain(d, &ask);
+	why = mh_rules_explain(d, &in);
 	CU_ASSERT_PTR_NOT_NULL(strstr(why, "closed (line"));
 	CU_ASSERT_PTR_NOT_NULL(strstr(why, "pipeline differs"));
 	CU_ASSERT_PTR_NOT_NULL(strstr(why, "waits"));
@@ -148,15 +148,15 @@
 	    "pipeline: [confirm]", "from_minute: 1320, to_minute: 360");
 	GError *err = NULL;
 	struct mh_decl *d = read_text(text, &err);
-	struct mh_rule_input ask = { .org = "acme", .pipeline = "plan" };
+	struct mh_rule_input in = { .org = "acme", .pipeline = "plan" };
 	struct mh_decision out;
 
 	CU_ASSERT_PTR_NOT_NULL_FATAL(d);
-	ask.wall_us = 23 * 3600 * MH_US_PER_S;
-	mh_rules_decide(d, &ask, &out);
+	in.wall_us = 23 * 3600 * MH_US_PER_S;
+	mh_rules_decide(d, &in, &out);
 	CU_ASSERT_STRING_EQUAL(out.rule->name, "first");
-	ask.wall_us = 12 * 3600 * MH_US_PER_S;
-	mh_rules_decide(d, &ask, &out);
+	in.wall_us = 12 * 3600 * MH_US_PER_S;
+	mh_rules_decide(d, &in, &out);
 	CU_ASSERT_STRING_EQUAL(out.rule->name, "rest");
 	mh_decl_unref(d);
 	g_free(text);
--- a/regress/t_drain.c
+++ b/regress/t_drain.c
@@ -505,7 +505,7 @@
 static void
 test_connections_not_yet_accepted(void)
 {
-	static const char ask[] = "GET /a HTTP/1.1\r\n" END;
+	static const char request[] = "GET /a HTTP/1.1\r\n" END;
 	struct mh_httpd_args a = { .listen = "127.0.0.1:0",
 		.on_request = on_small };
 	struct port p = { 0 };
@@ -516,7 +516,8 @@
 	CU_ASSERT_PTR_NOT_NULL_FATAL(p.h);
 	for (int i = 0; i < WAITING; i++) {
 		p.fd[i] = tcp_dial(mh_httpd_port(p.h));
-		CU_ASSERT(send(p.fd[i], ask, strlen(ask), MSG_NOSIGNAL) > 0);
+		CU_ASSERT(
+		    send(p.fd[i], request, strlen(request), MSG_NOSIGNAL) > 0);
 		mh_loop_fd(p.loop, p.fd[i], true, false, on_answer, &p);
 	}
 	mh_httpd_stop(p.h);
@@ -549,7 +550,7 @@
 static void
 test_request_at_the_close(void)
 {
-	static const char ask[] = "GET /a HTTP/1.1\r\nHost: h\r\n\r\n";
+	static const char request[] = "GET /a HTTP/1.1\r\nHost: h\r\n\r\n";
 	struct port p = { 0 };
 	struct mh_httpd_args a = {
 		.listen = "127.0.0.1:0", .on_request = on_taken, .arg = &p
@@ -562,7 +563,7 @@
 	CU_ASSERT_PTR_NOT_NULL_FATAL(p.h);
 	p.fd[0] = tcp_dial(mh_httpd_port(p.h));
 	mh_httpd_stop(p.h);
-	CU_ASSERT(send(p.fd[0], ask, strlen(ask), MSG_NOSIGNAL) > 0);
+	CU_ASSERT(send(p.fd[0], request, strlen(request), MSG_NOSIGNAL) > 0);
 	mh_httpd_destroy(p.h);
 	CU_ASSERT(recv(p.fd[0], buf, sizeof(buf) - 1, 0) > 0);
 	CU_ASSERT_TRUE(g_str_has_prefix(buf, "HTTP/1.1 503"));
--- a/regress/t_events.c
+++ b/regress/t_events.c
@@ -1,5 +1,5 @@
 /**
- * DOC: The stream that a caller gets when the runs behind it fail.
+ * DOC: The stream that a caller gets when the runs that produce it fail.
  */
 
 #include "frontrig.h"
@@ -109,7 +109,7 @@
 test_events_out_of_order(void)
 {
 	static const struct {
-		const char *ask;
+		const char *request;
 		const char *runs[2];
 		const char *events;
 		bool complete;
@@ -143,7 +143,7 @@
 
 		r->script[0] = rows[i].runs[0];
 		r->script[1] = rows[i].runs[1];
-		frig_converse(r, rows[i].ask);
+		frig_converse(r, rows[i].request);
 		got = events_of(r);
 		CU_ASSERT_STRING_EQUAL(got, rows[i].events);
 		CU_ASSERT_EQUAL(is_complete(r), rows[i].complete);
--- a/regress/t_http.c
+++ b/regress/t_http.c
@@ -49,7 +49,7 @@
 	uint32_t loop_count; /* iterations of the loop */
 	/* the client's side */
 	uint32_t ended;
-	uint32_t want; /* calls to wait for */
+	uint32_t expected; /* calls to wait for */
 	enum mh_hcall_outcome end;
 	uint32_t status;
 	GString *got;
@@ -1103,7 +1103,7 @@
 	struct hrig *r = arg;
 
 	r->end = end;
-	if (++r->ended >= r->want)
+	if (++r->ended >= r->expected)
 		mh_loop_stop(r->loop);
 }
 
@@ -1176,7 +1176,7 @@
 		listen_raw(r);
 		r->script = b->script;
 		r->reset = b->reset;
-		r->want = 1;
+		r->expected = 1;
 		call(r, "a");
 		run(r);
 		if (r->end != b->end)
@@ -1197,7 +1197,7 @@
 
 	listen_raw(r);
 	r->script = OK "X-Id: a\r\nContent-length: 2\r\n\r\nhi";
-	for (r->want = 1; r->want <= 3; r->want++) {
+	for (r->expected = 1; r->expected <= 3; r->expected++) {
 		call(r, "a");
 		run(r);
 	}
@@ -1207,7 +1207,7 @@
 	listen_raw(r);
 	r->script = OK "X-Id: z\r\nContent-length: 3\r\n\r\nnot" OK
 		       "X-Id: a\r\nContent-length: 2\r\n\r\nhi";
-	for (r->want = 1; r->want <= 2; r->want++) {
+	for (r->expected = 1; r->expected <= 2; r->expected++) {
 		call(r, "a");
 		run(r);
 	}
@@ -1225,12 +1225,12 @@
 	mh_loop_fd_close(r->loop, r->listen_fd);
 	close(r->listen_fd);
 	r->listen_fd = -1;
-	r->want = 1;
+	r->expected = 1;
 	call(r, "a");
 	run(r);
 	CU_ASSERT_EQUAL(r->end, MH_CALL_UNSENT);
 	g_strlcpy(r->addr, "no address", sizeof(r->addr));
-	r->want = 2;
+	r->expected = 2;
 	call(r, "a");
 	run(r);
 	CU_ASSERT_EQUAL(r->end, MH_CALL_UNSENT);
--- a/regress/t_platform_rows.c
+++ b/regress/t_platform_rows.c
@@ -207,7 +207,7 @@
 }
 
 static bool
-no(void *arg)
+return_false(void *arg)
 {
 	(void)arg;
 	return false;
@@ -233,8 +233,8 @@
 static void
 open_view(struct vrig *r)
 {
-	struct plat_view_fns fns = { no_conf, no_evacuated, no, no, no, NULL,
-		2 * S, NULL };
+	struct plat_view_fns fns = { no_conf, no_evacuated, return_false,
+		return_false, return_false, NULL, 2 * S, NULL };
 
 	r->k = mh_kern_create(1);
 	r->l = mh_loop_create(r->k, NULL);
--- a/regress/t_slow.c
+++ b/regress/t_slow.c
@@ -226,7 +226,7 @@
 	finish(&r);
 }
 
-/* Guards against endpoints that are never known over a narrow link. */
+/* Guards against a view that never gets ready over a narrow link. */
 static void
 test_slow_rows(void)
 {
--- a/regress/t_start.c
+++ b/regress/t_start.c
@@ -51,7 +51,7 @@
 
 /*
  * All VMs lose power and come back within 0.2 s of each other. Dials to VMs
- * that were still off hung for a second, and each waiting entry took itself for
+ * that were still off hung for a second, and each waiting entry acted as
  * the coordinator of stage work: the endpoints refused most calls, and half of
  * the requests missed their latency objective for six seconds.
  */
