--- a/GNUmakefile
+++ b/GNUmakefile
@@ -1,7 +1,7 @@
-# make demo    the main job on stand-ins; installs what is missing
+# make demo    demonstration with stand-ins; installs missing packages
 # make check   every test, the formatter and the linters
 # make bench   the scenarios against the baseline (SCENARIO=name for one)
-# make slopes  the figures behind docs/CAPACITY.md
+# make slopes  the measurements for docs/CAPACITY.md
 # make soak    faults from outside on real processes (SEEDS="1 2p" for some)
 # make model   the model of the at-most-once protocol
 LIBS = lib
--- a/bench/demo.sh
+++ b/bench/demo.sh
@@ -1,6 +1,6 @@
-# The main job on stand-ins: both users' requests, each answer printed with
-# its stages, times, cost and the rule that decided.  Ends by itself; exit
-# status 0 only if every answer was whole and right.
+# Demonstration against stand-ins: requests of both organisations; prints each
+# answer with its stages, times, cost and the rule that applied.  Exit status 0
+# only if every answer was complete and correct.
 set -u
 cd "$(dirname "$0")/.." || exit 1
 . bench/deploy.sh
--- a/bench/deploy.sh
+++ b/bench/deploy.sh
@@ -1,5 +1,5 @@
-# Starts a small deployment on loopback for the demo and the bench: stand-ins,
-# side processes, entries.  Sourced; every process is ended by its own id.
+# Starts a small deployment on loopback for demo and benchmarks: stand-ins,
+# side processes, entries.  Sourced; each process is signalled by its own id.
 #
 # dp_start DIR SEED DECL    dp_stop    dp_ctl PATH JSON
 # dp_side NAME POOL DOMAIN SLOTS    dp_entry NAME DOMAIN    dp_vms
--- a/bench/latency.sh
+++ b/bench/latency.sh
@@ -1,5 +1,6 @@
-# What a hop adds, what one entry carries, what a process weighs: prints
-# "latency NAME VALUE UNIT".  Fast stand-ins, so that the hops show.
+# Measures the latency that a hop adds, the load that one entry can serve and
+# the memory of a process; prints "latency NAME VALUE UNIT".  The stand-ins are
+# fast, so that the latency of the hops is visible.
 set -u
 cd "$(dirname "$0")/.." || exit 1
 . bench/deploy.sh
@@ -7,7 +8,7 @@
 trap 'dp_stop; rm -rf "$DIR"' EXIT
 DP_LLM=4
 
-dp_world() { # endpoints much faster than the bench's
+dp_world() { # endpoints much faster than those of bench.sh
 	DP_SEP=
 	printf '{"endpoints":[' >"$DP_DIR/world.json"
 	for _i in 0 1 2 3; do
--- a/bench/plot.sh
+++ b/bench/plot.sh
@@ -1,5 +1,6 @@
-# plot.sh DIR SEED: attainment second by second, policy against baseline, one
-# SVG a scenario, from the series that the bench left in DIR.
+# plot.sh DIR SEED: plots the share of requests answered in time per second,
+# policy against baseline, one SVG per scenario, from the series that bench.sh
+# wrote to DIR.
 set -u
 for f in "$1"/*-policy-"$2".dat; do
 	[ -f "$f" ] || continue
--- a/bench/recover.sh
+++ b/bench/recover.sh
@@ -1,5 +1,6 @@
-# recover.sh DIR SEED: how long after the end of each scenario's fault until
-# every later second is served as before it (urgent, all), from the series.
+# recover.sh DIR SEED: prints, from the series in DIR, how long after the end of
+# each scenario's fault the share of requests answered in time stays at its
+# level before the fault, for all and for urgent requests.
 set -u
 while read -r s from end; do
 	f=$1/$s-policy-$2.dat
--- a/bench/scenarios.sh
+++ b/bench/scenarios.sh
@@ -1,5 +1,5 @@
-# What goes wrong in each scenario, and when (seconds into a run of 24 s).
-# Sourced by bench.sh; each act_NAME runs beside the load.
+# The faults of each scenario and their times in a run of 24 s.  Sourced by
+# bench.sh; each act_NAME runs concurrently with the load.
 
 fault() { # ENDPOINT FAULT [FACTOR]
 	dp_ctl /ctl/fault \
@@ -202,7 +202,7 @@
 	platform '{"lose_answers":0}'
 }
 
-# SAMPLE=1 writes what the engines did, second by second.
+# SAMPLE=1 writes the engines' cumulative counters every second.
 sample() {
 	while sleep 1; do
 		curl -s -m 2 "$DP_PLATFORM/ctl/audit" | tr '{' '\n' |
--- a/bench/slopes.sh
+++ b/bench/slopes.sh
@@ -1,6 +1,7 @@
 # The slopes behind docs/CAPACITY.md: the decision services in virtual time
 # (marlslope.bin), then real processes on loopback: memory by organisations,
-# processor time by requests and tokens, a change until in force everywhere.
+# processor time by requests and tokens, and the time until a change is in force
+# at all processes.
 set -u
 cd "$(dirname "$0")/.." || exit 1
 . bench/deploy.sh
--- a/bench/summary.sh
+++ b/bench/summary.sh
@@ -1,4 +1,5 @@
-# summary.sh FILE ...: one file a seed; a Markdown table of means and worst.
+# summary.sh FILE ...: prints a Markdown table of the mean and the worst values;
+# one file per seed.
 awk '
 $1 == "bench" {
 	k = $2 SUBSEP $3 SUBSEP $4
--- a/bench/table.sh
+++ b/bench/table.sh
@@ -1,4 +1,5 @@
-# table.sh FILE ...: the bench's lines as one table, a row a scenario.
+# table.sh FILE ...: prints the lines of bench.sh as a table, with one row per
+# scenario and policy.
 cat "$@" | awk '
 $1 == "bench" { v[$2, $3, $4] = $5; if (!($2 in seen)) { seen[$2] = 1; order[++n] = $2 } }
 function f(s, p, m) { return ((s, p, m) in v) ? v[s, p, m] : "-" }
--- a/mk/lint.sh
+++ b/mk/lint.sh
@@ -1,4 +1,4 @@
-# clang-tidy, cppcheck and mandoc over everything of ours.
+# Runs clang-tidy, cppcheck and mandoc over all sources and manual pages.
 set -eu
 FLAGS="-std=gnu11 -Ilib -Iregress -Iplatform -Imarlwork $(pkg-config --cflags apr-1 libprotobuf-c \
     libmicrohttpd libcurl glib-2.0 jansson yaml-0.1 libxxhash libsodium \
