--- a/lib/broker.c
+++ b/lib/broker.c
@@ -38,7 +38,7 @@
 struct mh_broker {
 	struct mh_kern *k;
 	struct mh_mesh *m;
-	struct mh_scheds *cells;
+	struct mh_scheds *scheds;
 	GHashTable *sent_jobs; /* job -> struct sent_job */
 	GHashTable *remote_jobs; /* node/id -> struct remote_job */
 	GHashTable *remote_by_job; /* job -> struct remote_job */
@@ -155,13 +155,13 @@
 	double unit = (double)(mh_hash(j->id, strlen(j->id)) >> 11) /
 	    (double)(1ULL << 53);
 
-	return mh_scheds_pick(b->cells, used, n, unit);
+	return mh_scheds_pick(b->scheds, used, n, unit);
 }
 
 static void
 submit(struct mh_broker *b, struct mh_job *j)
 {
-	uint32_t count = mh_scheds_count(b->cells);
+	uint32_t count = mh_scheds_count(b->scheds);
 	uint32_t slice = pick_slice(b, j, count);
 	char work[MH_WORK_LEN];
 	const char *coordinator;
@@ -171,7 +171,7 @@
 	coordinator =
 	    mh_mesh_coordinator(b->m, mh_slice_work(work, slice, count));
 	if (mh_mesh_is_self(b->m, coordinator)) {
-		mh_sched_submit(mh_scheds_get(b->cells, slice, count), j);
+		mh_sched_submit(mh_scheds_get(b->scheds, slice, count), j);
 		return;
 	}
 	s = g_new0(struct sent_job, 1);
@@ -229,7 +229,7 @@
 			const char *result = g_ptr_array_index(a, i);
 
 			if (result != NULL && *result != '\0')
-				mh_scheds_discard(b->cells, result);
+				mh_scheds_discard(b->scheds, result);
 		}
 	}
 }
@@ -441,7 +441,7 @@
 	g_hash_table_insert(b->remote_jobs, key, r);
 	g_hash_table_insert(b->remote_by_job, r->job, r);
 	mh_count(b->k, "jobs_guest", 1);
-	mh_sched_submit(mh_scheds_get(b->cells, f->job->slice % MH_SLICES,
+	mh_sched_submit(mh_scheds_get(b->scheds, f->job->slice % MH_SLICES,
 			    CLAMP(f->job->slices, 1, MH_SLICES)),
 	    r->job);
 }
@@ -637,7 +637,7 @@
 	struct mh_broker *b = arg;
 
 	b->check_timer = mh_timer_start(b->k, CHECK_US, on_check_timer, b);
-	mh_scheds_foreach(b->cells, check_role, b);
+	mh_scheds_foreach(b->scheds, check_role, b);
 }
 
 void
@@ -651,13 +651,13 @@
 }
 
 struct mh_broker *
-mh_broker_create(struct mh_kern *k, struct mh_mesh *m, struct mh_scheds *cells)
+mh_broker_create(struct mh_kern *k, struct mh_mesh *m, struct mh_scheds *scheds)
 {
 	struct mh_broker *b = g_new0(struct mh_broker, 1);
 
 	b->k = k;
 	b->m = m;
-	b->cells = cells;
+	b->scheds = scheds;
 	b->sent_jobs = g_hash_table_new_full(NULL, NULL, NULL, free_sent);
 	b->remote_jobs =
 	    g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
--- a/lib/mesh.h
+++ b/lib/mesh.h
@@ -128,8 +128,9 @@
  */
 const char *mh_mesh_coordinator(struct mh_mesh *m, const char *what);
 /**
- * mh_mesh_announce() - sends @node the address of a coordinator that it does
- * not seem to know; does nothing if @node itself is the coordinator.
+ * mh_mesh_announce() - sends @node the address and weight of the peer
+ * @coordinator, which it may not list; does nothing if @node itself is the
+ * coordinator, or soon after the last announcement to @node.
  */
 void mh_mesh_announce(
     struct mh_mesh *m, const char *node, const char *coordinator);
@@ -298,7 +299,7 @@
 struct mh_broker;
 
 struct mh_broker *mh_broker_create(
-    struct mh_kern *k, struct mh_mesh *m, struct mh_scheds *cells);
+    struct mh_kern *k, struct mh_mesh *m, struct mh_scheds *scheds);
 void mh_broker_destroy(struct mh_broker *b);
 /**
  * mh_broker_on_end() - sets the callback for the end of a job that was
--- a/lib/wire.pb-c.h
+++ b/lib/wire.pb-c.h
@@ -104,7 +104,7 @@
   uint32_t stage;
   uint32_t attempt;
   /*
-   * incarnation of the asking entry
+   * incarnation of the requesting entry
    */
   uint64_t entry;
 };
@@ -147,7 +147,7 @@
   uint32_t kind;
   uint32_t priority;
   /*
-   * time left for this stage
+   * time remaining for this stage
    */
   uint64_t left_us;
   char *org;
@@ -166,7 +166,7 @@
   uint64_t epoch;
   uint32_t out_tokens;
   /*
-   * of the caller's request; 0: not known
+   * fingerprint of the caller's request; 0: none
    */
   uint64_t print;
 };
@@ -195,7 +195,7 @@
   uint32_t status;
   ProtobufCBinaryData body;
   /*
-   * how many chunks went before
+   * number of chunks sent before it
    */
   uint32_t chunks;
   uint64_t endpoint_us;
@@ -209,7 +209,7 @@
    */
   uint64_t first_us;
   /*
-   * what is known of the key of a non-repeatable call that did not run
+   * recorded outcome of the key of a non-repeatable call that did not run
    */
   Mh__Outcome key_outcome;
 };
@@ -358,7 +358,7 @@
   size_t n_entries;
   Mh__LedgerEntry **entries;
   /*
-   * tells two attempts apart
+   * distinguishes two attempts
    */
   uint64_t serial;
 };
@@ -449,7 +449,7 @@
 {
   ProtobufCMessage base;
   /*
-   * of the list that the asker has
+   * of the list that the requester has
    */
   uint64_t hash;
   /*
@@ -532,25 +532,25 @@
 
 
 /*
- * Among entries: who is here, what each has read, and stage work.
+ * Among entries: membership, what each has read, and stage work.
  */
 struct  Mh__Beat
 {
   ProtobufCMessage base;
   /*
-   * can do stage work for others
+   * can coordinate stage work for others
    */
   protobuf_c_boolean ready;
   protobuf_c_boolean leaving;
   uint64_t conf_revision;
   uint64_t rows_revision;
   /*
-   * the platform answers it
+   * the platform answers its reads
    */
   protobuf_c_boolean reads;
   uint64_t uptime_us;
   /*
-   * since it knew rows_revision to be the newest
+   * since rows_revision was last confirmed as the newest
    */
   uint64_t rows_age_us;
   /*
@@ -565,7 +565,7 @@
    * of itself and those it is linked to; 0: none
    */
   /*
-   * 0: not known
+   * 0: none
    */
   uint64_t evacuated_revision;
   /*
@@ -583,7 +583,7 @@
 
 
 /*
- * An entry that the sender uses, for one that does not seem to know it.
+ * An entry that the sender uses, for a peer that may not list it.
  */
 struct  Mh__Known
 {
@@ -606,17 +606,17 @@
   protobuf_c_boolean conf;
   protobuf_c_boolean rows;
   /*
-   * what the asker has; 0: send all
+   * what the requester has; 0: send all
    */
   uint64_t rows_since;
   protobuf_c_boolean evacuated;
   /*
-   * the asker takes what is packed
+   * the requester accepts packed data
    */
   protobuf_c_boolean packed;
   protobuf_c_boolean entries;
   /*
-   * what the asker has; 0: nothing
+   * what the requester has; 0: nothing
    */
   uint64_t conf_since;
 };
@@ -633,16 +633,16 @@
   uint64_t rows_revision;
   ProtobufCBinaryData rows;
   /*
-   * 0: not told
+   * 0: not sent
    */
   uint64_t evacuated_revision;
   /*
-   * all failure domains that are
+   * all evacuated failure domains
    */
   size_t n_evacuated;
   char **evacuated;
   /*
-   * conf, rows and entries are
+   * conf, rows and entries are packed
    */
   protobuf_c_boolean packed;
   uint64_t entries_revision;
@@ -673,7 +673,7 @@
   size_t n_results;
   char **results;
   /*
-   * or of a stage half made; "": not made
+   * or of a stage partly computed; "": not computed
    */
   size_t n_some;
   char **some;
@@ -706,7 +706,7 @@
    */
   char *domain;
   /*
-   * its worth over the mean of its route
+   * its value relative to the mean of its route
    */
   double weight;
   /*
@@ -715,11 +715,11 @@
   uint32_t slice;
   uint32_t slices;
   /*
-   * another home had it, whose calls may still run
+   * another coordinator had it, whose calls may still run
    */
   protobuf_c_boolean moved;
   /*
-   * of its request; 0: not known
+   * fingerprint of its request; 0: none
    */
   uint64_t print;
 };
@@ -737,7 +737,7 @@
   size_t n_stages;
   Mh__JobStage **stages;
   /*
-   * with a failed end: endpoints end under it
+   * with a failed end: endpoints crash under it
    */
   protobuf_c_boolean held;
 };
@@ -747,7 +747,7 @@
 
 
 /*
- * A stage of a job is done; the results that it read are gone.
+ * A stage of a job is done; the results that it read are released.
  */
 struct  Mh__JobStep
 {
@@ -760,7 +760,7 @@
   size_t n_results;
   char **results;
   /*
-   * or half made, by a home that leaves
+   * or partly computed, by a draining coordinator
    */
   size_t n_some;
   char **some;
@@ -771,7 +771,7 @@
 
 
 /*
- * The results of a job are free, or it is not wanted any more.
+ * The results of a job are free, or it is no longer wanted.
  */
 struct  Mh__JobDrop
 {
@@ -784,14 +784,14 @@
 
 
 /*
- * A process could not reach an endpoint, or the home says to leave it out.
+ * A process could not reach an endpoint, or the coordinator says to eject it.
  */
 struct  Mh__Suspect
 {
   ProtobufCMessage base;
   char *endpoint;
   /*
-   * by several reports, told by the home
+   * by several reports, announced by the coordinator
    */
   protobuf_c_boolean agreed;
 };
@@ -801,8 +801,8 @@
 
 
 /*
- * What is known of requests under which endpoints end; requests are named by
- * a fingerprint of what is asked.
+ * Evidence on requests under which endpoints crash; requests are named by
+ * a fingerprint of their content.
  */
 struct  Mh__Ended
 {
@@ -814,7 +814,7 @@
   char *pool;
   uint64_t age_us;
   /*
-   * requests that had just begun there...
+   * requests that had just started there...
    */
   size_t n_fresh;
   uint64_t *fresh;
@@ -824,11 +824,11 @@
   size_t n_old;
   uint64_t *old;
   /*
-   * it has answered since: it had not ended
+   * it has answered since: it had not crashed
    */
   protobuf_c_boolean lives;
   /*
-   * 0: not told
+   * 0: not sent
    */
   uint64_t end_id;
 };
@@ -843,11 +843,11 @@
   uint64_t print;
   char *pool;
   /*
-   * of the hold; 0: it is over
+   * of the quarantine; 0: released
    */
   uint64_t left_us;
   /*
-   * that it was held
+   * that it was quarantined
    */
   uint32_t times;
   uint64_t age_us;
@@ -858,7 +858,7 @@
 
 
 /*
- * An endpoint has run it and goes on: what was known before is no more.
+ * An endpoint has run it and still answers: earlier evidence is discarded.
  */
 struct  Mh__Ran
 {
@@ -867,7 +867,7 @@
   char *pool;
   uint64_t age_us;
   /*
-   * 0: not told
+   * 0: not sent
    */
   uint64_t run_id;
 };
