--- a/bench/demo.sh
+++ b/bench/demo.sh
@@ -1,6 +1,6 @@
 # The main job on stand-ins: both users' requests, each answer printed with
 # its stages, times, cost and the rule that decided.  Ends by itself; exit
-# status 0 only if every answer was whole and right.
+# status 0 only if every answer was complete and correct.
 set -u
 cd "$(dirname "$0")/.." || exit 1
 . bench/deploy.sh
@@ -13,7 +13,7 @@
 
 say() { printf '\n== %s\n' "$1"; }
 
-check() { # WHAT WORD: the last answer must hold the word
+check() { # WHAT WORD: the last answer must contain the word
 	if grep -q "$2" "$DIR/answer"; then
 		echo "   right: $1"
 	else
--- a/bench/deploy.sh
+++ b/bench/deploy.sh
@@ -11,7 +11,7 @@
 DP_ENTRIES=${DP_ENTRIES:-3}
 DP_QUEUE=${DP_QUEUE:-256}
 
-dp_wait_file() { # FILE WORD: until the word stands in the file, 20 s at most
+dp_wait_file() { # FILE WORD: until the file contains the word, 20 s at most
 	_w=0
 	while ! grep -q "$2" "$1" 2>/dev/null; do
 		_w=$((_w + 1))
@@ -106,7 +106,7 @@
 	echo "127.0.0.1:$_port"
 }
 
-dp_vms() { # tells the platform which VMs there are
+dp_vms() { # sends the platform the list of VMs
 	_list=
 	for _f in "$DP_DIR"/*.vm; do
 		read -r _n _role _pool _dom _slots <"$_f"
--- a/bench/scenarios.sh
+++ b/bench/scenarios.sh
@@ -23,7 +23,7 @@
 	dp_side "$1" "$_pool2" "$_dom2" "$_slots2"
 }
 
-restart_entry() { # NAME: on the port that callers know
+restart_entry() { # NAME: on the same port as before
 	read -r _ _ _ _dom2 _ <"$DP_DIR/$1.vm"
 	_http=$(dp_port "$DP_DIR/$1.out" http)
 	# shellcheck disable=SC2046
--- a/lib/gatelimit.c
+++ b/lib/gatelimit.c
@@ -17,7 +17,8 @@
 #define RUN_QUANTILE 0.75
 #define RUN_DEFAULT_US (2 * MH_US_PER_S)
 /* A draining process accepts streams during this part of its remaining time:
- * most end in a few seconds, and callers have been told to go elsewhere. */
+ * most end in a few seconds, and each response of a draining process closes its
+ * connection, so that callers connect to another entry. */
 #define STREAMS_RATIO 0.3
 
 void
--- a/mk/common.mk
+++ b/mk/common.mk
@@ -4,7 +4,7 @@
 PKGS = apr-1 libprotobuf-c libmicrohttpd libcurl glib-2.0 jansson \
 	yaml-0.1 libxxhash libsodium libbsd-overlay libzstd
 BUILD ?= debug
-# Where everything built goes; the platform wants its own folder.
+# The folder for everything built; the platform needs one of its own.
 BUILDDIR ?= build
 OBJ = $(TOP)/$(BUILDDIR)/$(BUILD)
 OUT ?= $(OBJ)
--- a/model/once.pml
+++ b/model/once.pml
@@ -1,20 +1,20 @@
 /*
  * The at-most-once protocol of one partition and one key: two side
  * processes, the owners' value in the KV service, calls that are delayed
- * and sent again, refusals, a caller that asks again, restarts, hand-over
- * (taken back, repeated, delayed) and takeover of a VM that is gone.
+ * and sent again, refusals, a caller that retries, restarts, handover
+ * (cancelled, repeated, delayed) and takeover from a VM that was removed.
  *
- * Three claims: the key runs at most once; a request that was told "not run"
- * never runs; and where the owner says so of the key, none of its requests
+ * Three claims: the key runs at most once; a request reported as "not run"
+ * never runs; and where the owner reports so for the key, none of its requests
  * has run.  Each -D below takes one guard out of the protocol; the checker must
  * then find a failure.
  *
  *   NO_BOUND      a restarted or taking-over owner runs keys of any time
- *   NO_FREEZE     the owner goes on starting calls while it hands over
- *   NO_SERIAL     an acknowledgement of an earlier hand-over counts
+ *   NO_FREEZE     the owner keeps starting calls during a handover
+ *   NO_SERIAL     an acknowledgement of an earlier handover counts
  *   LEASE         an owner that is still listed is taken over
  *   NO_MARK       a refused request is forgotten with its call
- *   NO_PROOF      "not run" is said of the key by whoever refuses a request
+ *   NO_PROOF      each refusing process reports "not run" for the key
  */
 
 #define OTHER(v) (1 - (v))
@@ -28,17 +28,17 @@
 #define REFUSED 2		/* of a call's own record only */
 
 byte kv_owner = 0, kv_inc = 1, kv_epoch = 1;
-bool born = false;		/* the key was made: its stamp is in the past */
+bool born = false;		/* the key exists: its stamp is in the past */
 bool kv_bounded = false;	/* the key is stamped before the bound */
 
 byte inc[2] = { 1, 1 };
 byte epoch[2] = { 1, 0 };	/* confirmed as owner in this epoch, 0: not */
 bool bounded[2];		/* the ledger's bound lies after the key */
-bool row[2];			/* the ledger knows the key as started */
+bool row[2];			/* the ledger records the key as started */
 byte mark[2];			/* requests up to this one never run here */
 bool frozen[2];
 bool gone[2];			/* the VM left the list and its process died */
-byte serial[2];			/* of the hand-over last sent */
+byte serial[2];			/* of the handover last sent */
 byte acked[2];			/* the target's incarnation, 0: none */
 byte got_epoch[2], got_serial[2];
 bool got_row[2];
@@ -63,7 +63,7 @@
 	fi
 }
 
-/* Only the owner whose ledger covers the key's whole life knows of it. */
+/* Only the owner whose ledger covers the key's whole life can report on it. */
 #ifdef NO_PROOF
 #define KNOWS(v) true
 #else
@@ -134,7 +134,7 @@
 		calls??eval(v), eval(inc[v]), e, q; take_call(v, e, q);
 		e = 0; q = 0 }
 
-	/* The refusal was acknowledged: the call's record goes. */
+	/* The refusal was acknowledged: the call's record is removed. */
 	:: atomic { rec1[v] == REFUSED -> rec1[v] = NONE }
 	:: atomic { rec2[v] == REFUSED -> rec2[v] = NONE }
 
@@ -150,12 +150,12 @@
 		epoch[v] = kv_epoch;
 		frozen[v] = false; acked[v] = 0 }
 
-	/* The table names somebody else. */
+	/* The table names another owner. */
 	:: atomic { !gone[v] && epoch[v] != 0 &&
 		!(kv_owner == v && kv_inc == inc[v]) ->
 		epoch[v] = 0; forget(v) }
 
-	/* Restart: the memory is gone; reclaim with a bound. */
+	/* Restart: the memory is lost; reclaim with a bound. */
 	:: atomic { !gone[v] && restarts < RESTARTS ->
 		restarts++; inc[v]++; epoch[v] = 0; forget(v);
 		rec1[v] = NONE; rec2[v] = NONE; mark[v] = 0;
@@ -164,7 +164,7 @@
 	:: atomic { !gone[v] && kv_owner == v && kv_inc != inc[v] ->
 		kv_inc = inc[v]; kv_epoch++; kv_bounded = kv_bounded || born }
 
-	/* Hand-over: freeze, send the rows, wait for the word, write. */
+	/* Handover: freeze, send the rows, await the acknowledgement, write. */
 	:: atomic { !gone[v] && epoch[v] != 0 && !frozen[v] &&
 		handovers < HANDOVERS ->
 		handovers++;
@@ -174,7 +174,7 @@
 		serial[v]++;
 		hands!OTHER(v), epoch[v] + 1, serial[v], row[v] }
 	:: atomic { !gone[v] && frozen[v] && acked[v] == 0 ->
-		frozen[v] = false }	/* taken back */
+		frozen[v] = false }	/* cancelled */
 	:: atomic { !gone[v] && acks??[eval(v), s, i] ->
 		acks??eval(v), s, i;
 		if
@@ -206,7 +206,7 @@
 		fi;
 		e = 0; s = 0; r = false }
 
-	/* The VM is gone; the other takes over with a bound. */
+	/* The VM is removed; the other takes over with a bound. */
 	:: atomic { !gone[v] && !gone[OTHER(v)] && restarts == 0 ->
 		gone[v] = true; rec1[v] = NONE; rec2[v] = NONE }
 #ifdef LEASE
@@ -232,7 +232,7 @@
 	:: atomic { n < COPIES -> n++; calls!to, i, e, 1 }
 	:: n > 0 -> break
 	od;
-	/* Told anything or nothing, the caller asks again. */
+	/* After any answer or none, the caller retries. */
 	atomic { n = 0; to = kv_owner; i = kv_inc; e = kv_epoch }
 end:	do
 	:: atomic { n < COPIES -> n++; calls!to, i, e, 2 }
--- a/model/run.sh
+++ b/model/run.sh
@@ -1,4 +1,4 @@
-# Checks the model, and that every guard taken out is caught.
+# Checks the model, and that the removal of any guard is detected.
 set -eu
 cd "$(dirname "$0")"
 out=$(mktemp -d)
--- a/regress/falls.sh
+++ b/regress/falls.sh
@@ -1,9 +1,9 @@
-# A request ends the endpoints that run it, over real processes.
+# A poison request crashes the endpoints that run it, over real processes.
 #
-# One party plan ends its encoder, and each that runs it again; its caller asks
-# twenty times, at both entries in turn, beside forty other party plans.  Three
-# ends tell; after some more that were under way the plan is refused by name,
-# and every other plan is answered, some when they are asked for again.
+# One party plan crashes its encoder, and each that runs it again; its caller
+# sends it twenty times, to both entries in turn, beside forty other plans.
+# Three crashes identify it; after some more that were in flight the plan is
+# refused by its fingerprint, and every other plan is answered, some on a retry.
 #
 # falls.sh BUILD: prints one line; fails if any answer is wrong.
 set -u
@@ -13,7 +13,7 @@
 
 DP_LLM=3
 DP_ENTRIES=2
-ENDS_MOST=6 # three tell, three more may be under way
+ENDS_MOST=6 # three identify it, three more may be in flight
 DIR=$(mktemp -d)
 trap 'dp_stop; rm -rf "$DIR"' EXIT
 
--- a/regress/owner.sh
+++ b/regress/owner.sh
@@ -1,9 +1,9 @@
 # A booking's owner dies and is not replaced, over real processes.
 #
 # Sixty confirmations with callers' own keys are answered.  One of three
-# booking side processes is killed; its VM stays listed.  The same keys, asked
-# again at both entries, must get the stored answer or "unknown": a parent who
-# is told "not run" books elsewhere and pays twice.
+# booking side processes is killed; its VM stays listed.  The same keys,
+# retried at both entries, must get the stored answer or "unknown": a parent
+# whose answer is "not run" books elsewhere and pays twice.
 #
 # owner.sh BUILD: prints one line; fails if any answer is wrong.
 set -u
