--- a/lib/place.c
+++ b/lib/place.c
@@ -13,11 +13,14 @@
 
 #include <string.h>
 
-/* An idle engine prefills 36 tokens per ms, fewer while it decodes. */
+/*
+ * This is 25 tokens per ms: an idle engine prefills 36, but fewer while it
+ * decodes.
+ */
 #define PREFILL_US_PER_TOKEN 40.0
 /*
- * Delay of the first token per request that is running already: its share of
- * each step of a chunked prefill.
+ * Delay of the first token by each request that is running already, which
+ * takes a share of each step of a chunked prefill.
  */
 #define RUNNING_COST_US 3000.0
 #define WAITING_COST_US 60000.0
--- a/lib/sched.c
+++ b/lib/sched.c
@@ -27,7 +27,10 @@
  * Nine calls of ten end within 40 ms of their expected time.
  */
 #define POLL_AFTER_US (100 * MH_US_PER_MS)
-/* A call counts as lost after this multiple of its expected time. */
+/*
+ * A call counts as lost after this multiple of its expected time and the same
+ * grace period.
+ */
 #define LOST_FACTOR 8.0
 /* An endpoint that refused a call gets no other for this long. */
 #define FULL_PAUSE_US (150 * MH_US_PER_MS)
--- a/lib/schedadmit.c
+++ b/lib/schedadmit.c
@@ -12,7 +12,7 @@
  * may run before it.
  */
 #define MISS_TIME_SHARE 0.9
-/* The estimate gives such jobs at least this part of a pool's capacity. */
+/* The estimate gives these jobs at least this share of a pool's capacity. */
 #define MISS_RATE_MIN 0.1
 /*
  * Margin between the estimate and the latency objective.  Without it, once a
@@ -27,8 +27,9 @@
 #define MEAN_WORK_WEIGHT 0.05
 /*
  * Each priority class needs this much more margin than the one before it, so
- * that a full pool refuses less urgent jobs first.  The mean value served on
- * thirty simulated days with high load is 0.667 with it and 0.661 without.
+ * that a full pool refuses less urgent jobs first.  Mean value served, as a
+ * share, in thirty simulated runs at high load: 0.667 with this rule and 0.661
+ * without.
  */
 #define CLASS_MARGIN 0.5
 #define CLASSES 4 /* higher numbers count as the last class */
--- a/lib/schedreport.c
+++ b/lib/schedreport.c
@@ -18,8 +18,8 @@
 /*
  * Interval of the polls while a call takes too long.  Without polls, an
  * endpoint stays idle for eight times the duration of a call after each lost
- * answer; four of fifteen endpoints were idle at once, and the queue that built
- * up took ten seconds to clear.
+ * answer.  Four of fifteen endpoints were then idle at once, and the queue took
+ * ten seconds to clear.
  */
 #define POLL_INTERVAL_US (150 * MH_US_PER_MS)
 
--- a/lib/schedrun.c
+++ b/lib/schedrun.c
@@ -26,8 +26,9 @@
  * If work is queued, an endpoint prefers pieces with data in its own failure
  * domain to pieces that are more urgent by up to this.  Fewer bytes cross
  * failure domains, and inputs that are read sooner free result memory sooner.
- * The mean value served on ten simulated days with high load is 0.651 without
- * the preference, 0.652 at 150 ms, 0.661 at 400, 0.658 at 800, 0.655 at 1600.
+ * Mean value served, as a share, in ten simulated runs at high load: 0.651
+ * without the preference, 0.652 with 150 ms, 0.661 with 400 ms, 0.658 with
+ * 800 ms and 0.655 with 1600 ms.
  */
 #define NEAR_LEAD_US (400 * MH_US_PER_MS)
 #define MAX_DOMAINS 16
@@ -40,11 +41,11 @@
 #define READ_INPUTS_US (40 * MH_US_PER_MS)
 /*
  * An endpoint that is not used because it is slow gets a small probe call at
- * this interval if all others are busy; it costs two pieces computed twice.
- * With only the decay of the estimate, which takes ten seconds, a third of a
- * pool that had recovered stayed idle during the next burst.  The mean value
- * served on ten simulated days with high load is 0.649 with probes and 0.635
- * without.
+ * this interval if all others are busy.  If it is still slow, two pieces may
+ * be computed twice.  Without probes, the estimate takes ten seconds to decay,
+ * and a third of a pool that had recovered was idle during the next burst.
+ * Mean value served, as a share, in ten simulated runs at high load: 0.649
+ * with probes and 0.635 without.
  */
 #define PROBE_US (1 * MH_US_PER_S)
 #define PROBE_PIECES 2
@@ -361,7 +362,7 @@
 					       : batch;
 }
 
-/* Takes pieces with data near the endpoint that are nearly most urgent. */
+/* Takes pieces with data near the endpoint; see NEAR_LEAD_US. */
 static void
 take_near(struct mh_sched *sc, struct mh_batch *b, struct worker *w,
     const struct mh_node *n, const GArray *ready, uint32_t max)
@@ -408,8 +409,8 @@
  * both act as the coordinator of the same endpoints, a call may wait behind one
  * of the other entry; its inputs would be freed before it reads them, and their
  * stages would have to be recomputed.  If one endpoint is found to be shared,
- * all of its pool are.  Calls of a coordinator that was lost run to their end,
- * so jobs handed off to us show that the endpoints may be busy.
+ * all endpoints of its pool count as shared.  Calls of a lost coordinator run
+ * to their end, so endpoints may be busy after jobs were handed off to us.
  */
 static bool
 starts_at_once(struct mh_sched *sc, struct sched_pool *p,
@@ -529,7 +530,7 @@
 	return best;
 }
 
-/* Under load all are busy: this is cheaper than listing ready stages. */
+/* Under load none is free, and this is cheaper than listing ready stages. */
 static bool
 any_free(struct mh_sched *sc, struct sched_pool *p)
 {
--- a/lib/scheds.c
+++ b/lib/scheds.c
@@ -14,10 +14,11 @@
 
 /*
  * Minimum number of endpoints of the smallest pool in a slice.  A coordinator
- * with more endpoints fills its calls better: on eight simulated days with high
- * load, the mean value served is 0.786 with one coordinator for 36 endpoints
- * and 0.758 with two for 18 each.  At 390 requests per second, the coordinator
- * of 36 endpoints uses 0.09 of a core; a pool twice as large is divided.
+ * with more endpoints fills its calls better.  Mean value served, as a share,
+ * in eight simulated runs at high load: 0.786 with one coordinator for 36
+ * endpoints and 0.758 with two for 18 each.  At 390 requests per second, the
+ * coordinator of 36 endpoints uses 0.09 of a core; a pool twice as large is
+ * divided.
  */
 #define SLICE_ENDPOINTS 20
 
--- a/lib/schedwork.c
+++ b/lib/schedwork.c
@@ -7,11 +7,13 @@
 #include <math.h>
 #include <string.h>
 
-/* Slack by which a priority class runs before the next one. */
+/* A priority class runs before the next unless its slack is this much more. */
 #define CLASS_LEAD_US (100 * MH_US_PER_MS)
 /* Time constant of the average of admitted work. */
 #define ARRIVAL_WINDOW_US (2 * MH_US_PER_S)
-/* Tolerance for estimation errors before a job counts as missing its objective.
+/*
+ * A job counts as missing its latency objective only if the estimate exceeds
+ * the objective by more than this, since estimates have errors.
  */
 #define SLO_SLACK_US (100 * MH_US_PER_MS)
 
@@ -251,7 +253,7 @@
 	int64_t key = j->slo_us - mh_sched_path_us(j, stage) +
 	    (int64_t)j->priority * CLASS_LEAD_US;
 
-	/* Among such jobs, those that were started run first. */
+	/* Of the jobs that miss their objective, started ones run first. */
 	if (j->state->misses_slo)
 		key += j->state->started ? SLO_MISS_PENALTY_US / 2
 					 : SLO_MISS_PENALTY_US;
